--- a/crates/coordination/src/mesh/admission_queue.rs
+++ b/crates/coordination/src/mesh/admission_queue.rs
@@ -1,8 +1,8 @@
-//! The queue at the node beside a server.
+//! The admission queue that a node keeps for its local server.
 //!
-//! The server never has more requests than it works on at once, so requests wait
+//! The server never gets more requests than its concurrency limit. The others wait
 //! here, where they are ordered by rank and can still be refused as not run. A
-//! request whose turn would come later than it can wait is refused on arrival.
+//! request whose expected wait exceeds its maximum wait is refused on arrival.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,40 +13,41 @@
 use crate::latency::LatencyEstimate;
 use crate::mesh::rate_limits::RateGate;
 
-/// How requests are ordered: first by class (lower first), then by arrival.
+/// Order of requests in the queue: lower ranks run first, and requests of equal rank run in order
+/// of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Rank(pub u16);
 
-/// Names a request in the queue.
+/// Identifies a request that waits in the queue; later arrivals have higher numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// What becomes of a request that asks to run.
+/// The admission decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs now; [`AdmissionQueue::finish`] must follow.
+    /// The request runs now. [`AdmissionQueue::finish`] must be called when it ends.
     Run,
-    /// It waits until [`AdmissionQueue::finish`] names it.
+    /// The request waits until a call such as [`AdmissionQueue::finish`] returns its ticket.
     Wait(Ticket),
-    /// It is refused. The caller may come back after this time.
+    /// The request is refused and has not run.
     Refuse {
-        /// When there may be room.
+        /// Time after which the caller may retry, as the server may have a free slot then.
         retry_after: Duration,
     },
 }
 
-/// What a server's node tells callers' nodes of its load.
+/// The load of a server, as its node reports it to the nodes of callers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Occupancy {
-    /// Requests at the server.
+    /// Number of requests that the server is running.
     pub running: u32,
-    /// Requests that wait at its node.
+    /// Number of requests that wait in the queue of the server's node.
     pub waiting: u32,
-    /// Requests that may be at the server at once.
+    /// Maximum number of requests that the server runs concurrently.
     pub limit: u32,
 }
 
-/// Requests for one server.
+/// The running and waiting requests of one server.
 #[derive(Clone, Debug)]
 pub struct AdmissionQueue {
     limit: u32,
@@ -54,32 +55,32 @@
     next_ticket: u64,
     waiting: BTreeMap<(Rank, Ticket), Timestamp>,
     service_time: LatencyEstimate,
-    /// What the server takes a second, if it names that.
-    gate: RateGate,
-    /// When the server last answered, or began to have something to answer.
-    responsive: Timestamp,
-    /// When the last request was let to a silent server.
-    tried: Timestamp,
+    /// Limits the request rate if the server has announced a rate limit.
+    rate_gate: RateGate,
+    /// When the server last answered, started, or got a request while it was idle.
+    last_response: Timestamp,
+    /// When an unresponsive server was last sent a trial request.
+    last_trial: Timestamp,
 }
 
-/// A server that answers nothing is not called silent before this time.
+/// Minimum time without an answer after which a server counts as unresponsive.
 const MIN_SILENCE: Duration = Duration::from_millis(600);
-/// A silent server gets one request in this time.
+/// An unresponsive server is sent at most one trial request per interval of this length.
 const TRIAL_INTERVAL: Duration = Duration::from_millis(300);
-/// Without samples a run is taken to last this long.
+/// Assumed duration of a run while no runs have been measured.
 const ASSUMED_SERVICE_TIME: Duration = Duration::from_millis(50);
-/// Callers are asked to come back no sooner than this.
+/// Minimum retry delay that refused callers are given.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Callers are asked to come back no later than this.
+/// Maximum retry delay that refused callers are given while the server is below its rate limit.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(1500);
-/// The same at the limit that the server names.
+/// Maximum retry delay that refused callers are given while the server is at its rate limit.
 const MAX_RETRY_AFTER_AT_LIMIT: Duration = Duration::from_secs(10);
-/// What a wait for the server's limit is multiplied with: a request that is overtaken there needs
-/// time to ask another server.
-const TOKEN_WAIT_MARGIN: f64 = 1.3;
+/// Factor applied to the expected wait for the server's rate limit: a request that is overtaken in
+/// the queue needs time left to try another server.
+const TOKEN_WAIT_FACTOR: f64 = 1.3;
 
 impl AdmissionQueue {
-    /// An empty queue for a server that takes `limit` requests at once.
+    /// Creates an empty queue for a server that runs up to `limit` requests concurrently.
     pub fn new(limit: u32) -> Self {
         AdmissionQueue {
             limit: limit.max(1),
@@ -87,20 +88,20 @@
             next_ticket: 0,
             waiting: BTreeMap::new(),
             service_time: LatencyEstimate::default(),
-            gate: RateGate::default(),
-            responsive: Timestamp::ZERO,
-            tried: Timestamp::ZERO,
+            rate_gate: RateGate::default(),
+            last_response: Timestamp::ZERO,
+            last_trial: Timestamp::ZERO,
         }
     }
 
-    /// Sets how many requests may be at the server at once. Returns those that
-    /// may run now.
+    /// Sets the maximum number of requests that the server runs concurrently. Returns the
+    /// tickets of waiting requests that now run.
     pub fn set_limit(&mut self, now: Timestamp, limit: u32) -> Vec<Ticket> {
         self.limit = limit.max(1);
         self.start_waiting(now)
     }
 
-    /// The load here.
+    /// The current load of the server and the queue.
     pub fn occupancy(&self) -> Occupancy {
         Occupancy {
             running: self.running,
@@ -109,49 +110,50 @@
         }
     }
 
-    /// The server has answered, and named this limit or none. Returns the requests that may run
-    /// now.
-    pub fn server_named(&mut self, now: Timestamp, limit: Option<RequestRate>) -> Vec<Ticket> {
-        self.gate.server_named(now, limit);
+    /// Records that the server answered and announced this rate limit, or none. Returns the tickets
+    /// of waiting requests that now run.
+    pub fn set_rate_limit(&mut self, now: Timestamp, limit: Option<RequestRate>) -> Vec<Ticket> {
+        self.rate_gate.server_named(now, limit);
         self.start_waiting(now)
     }
 
-    /// Other nodes were told this limit of the server.
-    pub fn others_were_told(&mut self, now: Timestamp, limit: RequestRate) {
-        self.gate.others_were_told(now, limit);
+    /// Records that other nodes were told this rate limit of the server.
+    pub fn note_limit_told_to_others(&mut self, now: Timestamp, limit: RequestRate) {
+        self.rate_gate.others_were_told(now, limit);
     }
 
-    /// Whether the server gets as many requests as it takes already.
+    /// Whether the server is at its announced rate limit, so that no request may start now.
     pub fn is_at_rate_limit(&self, now: Timestamp) -> bool {
-        !self.gate.has_token(now)
+        !self.rate_gate.has_token(now)
     }
 
-    /// The time until the server may get another request, if any wait for that.
+    /// The time until the rate limit admits the next waiting request; `None` unless requests wait
+    /// only for the rate limit.
     pub fn next_start(&self, now: Timestamp) -> Option<Duration> {
-        let waits = self.gate.is_limited() && !self.waiting.is_empty() && self.has_slot();
-        waits.then(|| self.gate.time_until(now, 1))
+        let waits = self.rate_gate.is_limited() && !self.waiting.is_empty() && self.has_free_slot();
+        waits.then(|| self.rate_gate.time_until(now, 1))
     }
 
-    /// Requests that wait longer than they can, by the limit that the server names now. They are to
-    /// be told at once: there is time left to ask another server.
-    pub fn waiting_in_vain(&self, now: Timestamp) -> Vec<Ticket> {
-        if !self.gate.is_limited() {
+    /// Waiting requests whose expected wait under the current rate limit exceeds their maximum
+    /// wait. They should be refused at once, while they still have time to try another server.
+    pub fn waits_exceeding_patience(&self, now: Timestamp) -> Vec<Ticket> {
+        if !self.rate_gate.is_limited() {
             return Vec::new();
         }
         let waiting = self.waiting.iter().enumerate();
-        let in_vain = waiting
-            .filter(|(ahead, (_, until))| now + self.wait_for_token(now, ahead + 1) > **until);
-        in_vain.map(|(_, ((_, ticket), _))| *ticket).collect()
+        let exceeding =
+            waiting.filter(|(ahead, (_, until))| now + self.token_wait(now, ahead + 1) > **until);
+        exceeding.map(|(_, ((_, ticket), _))| *ticket).collect()
     }
 
-    /// The load as far as it is limited by the rate that the server names: then its slots are
-    /// those that it uses at that rate.
-    pub fn limiting_load(&self, now: Timestamp) -> Occupancy {
+    /// The load relative to whichever limit applies. If the server has announced a rate limit, its
+    /// slots are those that it uses at that rate.
+    pub fn occupancy_under_rate_limit(&self, now: Timestamp) -> Occupancy {
         let load = self.occupancy();
-        let Some(slots) = self.gate.slots_used(self.expected_service_time()) else {
+        let Some(slots) = self.rate_gate.slots_used(self.expected_service_time()) else {
             return load;
         };
-        let is_full = !self.gate.has_token(now) || !self.has_slot();
+        let is_full = !self.rate_gate.has_token(now) || !self.has_free_slot();
         Occupancy {
             running: if is_full { slots } else { 0 },
             limit: slots,
@@ -159,10 +161,10 @@
         }
     }
 
-    /// A request wants to run and can wait for `patience`.
-    pub fn offer(&mut self, now: Timestamp, rank: Rank, patience: Duration) -> Admission {
-        if self.has_slot() && self.is_next(rank) && self.gate.try_take(now) {
-            self.start(now);
+    /// Decides on a new request that can wait for up to `patience`: runs, queues or refuses it.
+    pub fn admit(&mut self, now: Timestamp, rank: Rank, patience: Duration) -> Admission {
+        if self.has_free_slot() && self.is_first_in_queue(rank) && self.rate_gate.try_take(now) {
+            self.occupy_slot(now);
             return Admission::Run;
         }
         let wait = self.expected_wait(now, rank);
@@ -177,55 +179,56 @@
         Admission::Wait(ticket)
     }
 
-    /// Whether the server has had requests for a while and answered none of them.
+    /// Whether the server is unresponsive: it has had running requests for a while and answered
+    /// none.
     pub fn is_silent(&self, now: Timestamp) -> bool {
         let silence = (self.service_time.high() * 2).max(MIN_SILENCE);
-        self.running > 0 && now.saturating_since(self.responsive) > silence
+        self.running > 0 && now.saturating_since(self.last_response) > silence
     }
 
-    /// Whether a request may be let to the server: one that is silent gets one
-    /// now and then, to see whether it answers again.
-    pub fn may_try(&mut self, now: Timestamp) -> bool {
+    /// Whether a request may be sent to the server. An unresponsive server is sent a trial
+    /// request once per [`TRIAL_INTERVAL`], to detect when it answers again.
+    pub fn allows_attempt(&mut self, now: Timestamp) -> bool {
         if !self.is_silent(now) {
             return true;
         }
-        if now.saturating_since(self.tried) < TRIAL_INTERVAL {
+        if now.saturating_since(self.last_trial) < TRIAL_INTERVAL {
             return false;
         }
-        self.tried = now;
+        self.last_trial = now;
         true
     }
 
-    /// The server answered something.
-    pub fn answered(&mut self, now: Timestamp) {
-        self.responsive = now;
+    /// Records that the server answered a request.
+    pub fn note_answer(&mut self, now: Timestamp) {
+        self.last_response = now;
     }
 
-    /// The server has started: that it answered nothing before says nothing of it.
-    pub fn server_started(&mut self, now: Timestamp) {
-        self.responsive = now;
+    /// Records that the server has started, so that missing answers of its former run don't count.
+    pub fn note_server_start(&mut self, now: Timestamp) {
+        self.last_response = now;
     }
 
-    /// It is another start of a server than before, or another server.
-    pub fn server_replaced(&mut self) {
-        self.gate.server_started();
+    /// Resets the rate limit because the server restarted or was replaced by another one.
+    pub fn reset_rate_limit(&mut self) {
+        self.rate_gate.server_started();
     }
 
-    /// A request stopped waiting. False if it was not waiting any more: then it
-    /// counts as running.
+    /// Removes a request that stopped waiting. Returns false if it was no longer waiting:
+    /// then it counts as running.
     pub fn withdraw(&mut self, rank: Rank, ticket: Ticket) -> bool {
         self.waiting.remove(&(rank, ticket)).is_some()
     }
 
-    /// A place that was given to a request was not used: it has not reached the server. Returns
-    /// those that may run now.
-    pub fn give_back(&mut self, now: Timestamp) -> Vec<Ticket> {
-        self.gate.give_back();
+    /// Releases the slot of a request that was admitted but never reached the server. Returns the
+    /// tickets of waiting requests that now run.
+    pub fn release_unused_slot(&mut self, now: Timestamp) -> Vec<Ticket> {
+        self.rate_gate.give_back();
         self.finish(now, None)
     }
 
-    /// A run ended after `ran_for`, if that is worth remembering. Returns those
-    /// that may run now.
+    /// Releases the slot of a run that ended. `ran_for` is its duration if that should count in
+    /// the estimate of the service time. Returns the tickets of waiting requests that now run.
     pub fn finish(&mut self, now: Timestamp, ran_for: Option<Duration>) -> Vec<Ticket> {
         self.running = self.running.saturating_sub(1);
         if let Some(ran_for) = ran_for {
@@ -234,37 +237,40 @@
         self.start_waiting(now)
     }
 
-    /// How long a request of `rank` would wait.
+    /// The expected queueing time of a new request of `rank`.
     pub fn expected_wait(&self, now: Timestamp, rank: Rank) -> Duration {
         let ahead = self
             .waiting
             .range(..=(rank, Ticket(u64::MAX)))
             .count()
             .saturating_add(1);
-        let for_token = self.wait_for_token(now, ahead);
-        if self.has_slot() {
-            return for_token;
+        let token_wait_time = self.token_wait(now, ahead);
+        if self.has_free_slot() {
+            return token_wait_time;
         }
         let service_time = self.expected_service_time();
-        let for_slot = service_time.mul_f64(ahead as f64 / f64::from(self.limit));
-        for_slot.max(for_token)
+        let slot_wait_time = service_time.mul_f64(ahead as f64 / f64::from(self.limit));
+        slot_wait_time.max(token_wait_time)
     }
 
-    /// When a request that would wait too long may come back. What a server names is kept for
-    /// longer than its slots are full.
+    /// The retry delay for a refused request that would have waited for `wait`. The maximum is
+    /// longer at the rate limit, which stays in force for longer than all slots stay taken.
     fn retry_after(&self, now: Timestamp, wait: Duration) -> Duration {
-        let longest = match self.gate.has_token(now) {
+        let max_retry_after = match self.rate_gate.has_token(now) {
             true => MAX_RETRY_AFTER,
             false => MAX_RETRY_AFTER_AT_LIMIT,
         };
-        wait.clamp(MIN_RETRY_AFTER, longest)
+        wait.clamp(MIN_RETRY_AFTER, max_retry_after)
     }
 
-    /// How long a request must be able to wait for the `count`-th token.
-    fn wait_for_token(&self, now: Timestamp, count: usize) -> Duration {
-        self.gate.time_until(now, count).mul_f64(TOKEN_WAIT_MARGIN)
+    /// The wait for the `count`-th token of the rate limit, including a margin.
+    fn token_wait(&self, now: Timestamp, count: usize) -> Duration {
+        self.rate_gate
+            .time_until(now, count)
+            .mul_f64(TOKEN_WAIT_FACTOR)
     }
 
+    /// The mean duration of a run, or [`ASSUMED_SERVICE_TIME`] if none has been measured.
     fn expected_service_time(&self) -> Duration {
         match self.service_time.is_known() {
             true => self.service_time.mean(),
@@ -272,31 +278,33 @@
         }
     }
 
-    fn has_slot(&self) -> bool {
+    fn has_free_slot(&self) -> bool {
         self.running < self.limit
     }
 
-    /// Whether no request waits that comes before one of `rank`.
-    fn is_next(&self, rank: Rank) -> bool {
+    /// Whether a new request of `rank` would be the first in the queue.
+    fn is_first_in_queue(&self, rank: Rank) -> bool {
         let first = self.waiting.first_key_value();
         first.is_none_or(|((first, _), _)| rank < *first)
     }
 
-    fn start(&mut self, now: Timestamp) {
+    /// Takes a slot for a request that starts now.
+    fn occupy_slot(&mut self, now: Timestamp) {
         if self.running == 0 {
-            self.responsive = now;
+            self.last_response = now;
         }
         self.running += 1;
     }
 
-    /// Starts requests that wait, as far as there are slots and the server's limit allows.
+    /// Starts waiting requests while there are free slots and the rate limit admits them. Returns
+    /// their tickets.
     pub fn start_waiting(&mut self, now: Timestamp) -> Vec<Ticket> {
         let mut started = Vec::new();
-        while self.has_slot() && !self.waiting.is_empty() && self.gate.try_take(now) {
+        while self.has_free_slot() && !self.waiting.is_empty() && self.rate_gate.try_take(now) {
             let Some(((_, ticket), _)) = self.waiting.pop_first() else {
                 break;
             };
-            self.start(now);
+            self.occupy_slot(now);
             started.push(ticket);
         }
         started
--- a/crates/coordination/src/mesh/call.rs
+++ b/crates/coordination/src/mesh/call.rs
@@ -1,8 +1,8 @@
 //! One request of a caller: its attempts, and what the caller is told.
 //!
-//! A route bounds the servers that a request may be sent to. One that has refused to
-//! run it is passed by while there are others; after that it may be asked again,
-//! which sends the request to no further server.
+//! A route limits the number of servers that a request may be sent to. A server that has
+//! refused to run the request is skipped while there are others. After that, it may be tried
+//! again, which does not count against the limit.
 
 use std::time::Duration;
 
@@ -11,32 +11,34 @@
 
 use crate::mesh::server_wanted::Candidates;
 
-/// A caller that is refused is asked to come back after this time if nobody
-/// named another.
+/// Retry delay given to the caller of a refused request if no refusing server or node
+/// named one.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// A request may be refused so often before its caller is told.
+/// Maximum number of refused attempts of a request; after that, the refusal is passed to its
+/// caller.
 const MAX_REFUSED_ATTEMPTS: u32 = 6;
-/// A server that has refused a request is asked again after this time, multiplied
-/// with the refusals so far: about half of a short run, after which it may have room.
-const ASK_AGAIN_PAUSE: Duration = Duration::from_millis(10);
+/// Delay before a server that has refused a request is tried again, multiplied by the
+/// number of refusals so far. It is about half the duration of a short run, after which the
+/// server may have a free slot.
+const REFUSING_SERVER_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The server answered; its answer is whole or on its way.
+    /// The server answered. Its answer is complete or still being received.
     Answered,
-    /// The server did not run it and never will.
+    /// The server did not run the attempt and never will.
     NotRun {
-        /// Whether the server itself was asked, so that it counts as an attempt.
+        /// Whether the request reached the server itself, so that it counts as an attempt.
         offered: bool,
-        /// Why, for logs.
+        /// Why the attempt was not run.
         reason: NotRunReason,
-        /// When there may be room.
+        /// Time after which the server may accept the request, if the refusal named one.
         retry_after: Option<Duration>,
     },
-    /// It may have run, or may still.
+    /// The attempt may have run, may be running, or may still run.
     Unknown {
-        /// Why, for logs.
+        /// Why the outcome is unknown, for logs.
         reason: UnknownReason,
     },
 }
@@ -44,29 +46,29 @@
 /// Why an attempt was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotRunReason {
-    /// No connection to the server's node.
+    /// No connection to the server's node could be made.
     NodeUnreachable,
     /// The server's node is about to stop.
     NodeLeaving,
-    /// The server is about to end.
+    /// The server is draining because it is about to stop.
     ServerDraining,
-    /// The server fails much of what it is given, and another has room.
+    /// The server fails a large share of its requests, and another server has free slots.
     ServerFailing,
-    /// Another server stands at the address.
+    /// Another server listens at the address.
     WrongInstance,
-    /// No connection to the server.
+    /// The server accepts no connection or is unresponsive.
     ServerUnreachable,
-    /// Services that it needs further down refuse requests of its priority.
+    /// Downstream services that the request needs refuse requests of its priority.
     DownstreamOverloaded,
-    /// The server gets as many requests as it takes already.
+    /// The server is at its announced rate limit.
     RateLimited,
-    /// The queue at the server's node is too long.
+    /// The expected wait in the queue of the server's node is too long.
     QueueFull,
-    /// It waited at the server's node as long as it could.
+    /// The attempt reached its maximum wait in the queue of the server's node.
     QueueTimeout,
-    /// The server refused it.
+    /// The server itself refused the request.
     ServerRefused,
-    /// It crashes the servers that run it.
+    /// The request crashes the servers that run it.
     CrashesServers,
 }
 
@@ -75,27 +77,27 @@
 pub enum UnknownReason {
     /// The connection broke after the request was sent.
     AnswerLost,
-    /// What came was not an answer to the request.
+    /// The received data was not a valid answer to the request.
     AnswerInvalid,
-    /// The server or its node stayed silent.
+    /// The server or its node sent no answer in time.
     Silent,
-    /// The server crashed while it had the request, or a moment after.
+    /// The server crashed while it ran the request, or shortly after.
     ServerCrashed,
 }
 
-/// What the caller is told when no server's answer is passed on.
+/// The answer to the caller when no server's answer is passed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// It has not run and never will; the caller may come back.
+    /// The request has not run and never will; the caller may retry it.
     Refused {
-        /// After this time.
+        /// Time after which the caller may retry.
         retry_after: Duration,
-        /// Why.
+        /// Why the request was refused.
         reason: RefusalReason,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// It took too long, and may have run.
+    /// The time for the request ran out, and it may have run.
     TimedOut,
 }
 
@@ -108,133 +110,140 @@
     NoServer,
     /// The service, or one that it needs, refuses requests of its priority.
     Overloaded,
-    /// Every server that was asked refused.
+    /// Every server that was tried refused the request. The reason is that of the last refusal.
     AllRefused(NotRunReason),
-    /// Its time ran out before any server had taken it.
+    /// The time for the request ran out before any server had accepted it.
     OutOfTime,
-    /// It crashes the servers that run it.
+    /// The request crashes the servers that run it.
     CrashesServers,
-    /// This node's view is too old to tell whether its key is good.
+    /// This node's view is too old to tell whether the request's API key is valid.
     ViewTooOld,
-    /// Its tenant is at its limit.
+    /// The request's tenant is at its quota.
     OverLimit,
-    /// Nobody tells whether its tenant is at its limit.
+    /// No node that grants quota could be reached for the request's tenant.
     NoLender,
 }
 
-/// What to do next.
+/// The next step after an attempt has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// Send another attempt to a server that is not excluded.
     Attempt,
     /// Wait for another attempt that is still on its way.
     Wait,
-    /// Tell the caller.
+    /// Answer the caller.
     Finish(FinalAnswer),
 }
 
-/// The state of one request.
+/// The state of one request of a caller and its attempts.
 #[derive(Clone, Debug)]
 pub struct Call {
     idempotent: bool,
     max_servers: usize,
-    refused: u32,
+    /// Number of attempts that were refused.
+    refused_attempts: u32,
     may_have_run: bool,
     is_hedged: bool,
-    was_turned_away: bool,
-    ends: Timestamp,
-    /// Servers that were sent it.
-    asked: Vec<InstanceId>,
-    /// Servers that must not get it again.
+    /// Whether the node of a failing server refused an attempt.
+    was_refused_by_failing: bool,
+    deadline: Timestamp,
+    /// Servers that the request was sent to.
+    sent_to: Vec<InstanceId>,
+    /// Servers that must not be sent the request again.
     excluded: Vec<InstanceId>,
-    /// Servers that refused to run it and may be asked again.
+    /// Servers that refused to run the request and may be tried again.
     refused_by: Vec<InstanceId>,
+    /// Reason and retry delay of the last refusal.
     last_refusal: Option<(NotRunReason, Option<Duration>)>,
 }
 
 impl Call {
-    /// A request for `route` that arrived at `now` and whose caller waits for
-    /// `caller_patience`.
+    /// Creates the state of a request for `route` that arrived at `now` and whose caller waits
+    /// for up to `caller_patience`.
     pub fn new(now: Timestamp, route: &Route, caller_patience: Option<Duration>) -> Self {
         let bounds = [route.timeout, caller_patience];
-        let held = bounds.into_iter().flatten().min();
+        let limit = bounds.into_iter().flatten().min();
         Call {
             idempotent: route.is_idempotent(),
             max_servers: route.max_attempts as usize,
-            refused: 0,
+            refused_attempts: 0,
             may_have_run: false,
             is_hedged: false,
-            was_turned_away: false,
-            ends: held.map_or(Timestamp::from_micros(u64::MAX), |held| now + held),
-            asked: Vec::new(),
+            was_refused_by_failing: false,
+            deadline: limit.map_or(Timestamp::from_micros(u64::MAX), |limit| now + limit),
+            sent_to: Vec::new(),
             excluded: Vec::new(),
             refused_by: Vec::new(),
             last_refusal: None,
         }
     }
 
-    /// When the caller must have its answer.
+    /// When the caller must have its answer: the earlier of the route's timeout and the caller's.
     pub fn ends(&self) -> Timestamp {
-        self.ends
+        self.deadline
     }
 
-    /// The servers that its next attempt may go to, if there are any: first one that
-    /// has not refused it, if the route allows another.
+    /// The sets of servers that the next attempt may go to, in order of preference: first the
+    /// servers that have not refused the request, if the route allows another server, then
+    /// those that have refused it and may be tried again.
     pub fn candidates(&self) -> impl Iterator<Item = Candidates> {
-        let mut passed_by = self.excluded.clone();
-        passed_by.extend_from_slice(&self.refused_by);
-        let another = Candidates::AllBut(passed_by);
+        let mut skipped = self.excluded.clone();
+        skipped.extend_from_slice(&self.refused_by);
+        let another = Candidates::AllBut(skipped);
         let again = Candidates::Only(self.refused_by.clone());
-        let may_ask_another = self.asked.len() < self.max_servers;
+        let may_ask_another = self.sent_to.len() < self.max_servers;
         may_ask_another
             .then_some(another)
             .into_iter()
             .chain([again])
     }
 
-    /// How long the attempt at `server` has to wait before it is sent.
+    /// The delay before the next attempt is sent to `server`; zero unless it refused an earlier
+    /// one.
     pub fn pause_before(&self, server: &InstanceId) -> Duration {
         if self.refused_by.contains(server) {
-            ASK_AGAIN_PAUSE * self.refused
+            REFUSING_SERVER_RETRY_DELAY * self.refused_attempts
         } else {
             Duration::ZERO
         }
     }
 
-    /// Whether it can be sent again although it may have run.
+    /// Whether the request can be sent again although it may have run.
     pub fn may_repeat(&self) -> bool {
         self.idempotent
     }
 
-    /// Whether no attempt was made yet.
+    /// Whether no attempt has ended or was hedged yet.
     pub fn is_new(&self) -> bool {
         self.excluded.is_empty() && self.refused_by.is_empty()
     }
 
-    /// Whether a server may have it already.
+    /// Whether a server may have received the request already.
     pub fn is_repeat(&self) -> bool {
-        !self.asked.is_empty() || self.is_hedged
+        !self.sent_to.is_empty() || self.is_hedged
     }
 
-    /// Whether a server that fails much may still turn it away.
+    /// Whether the node of a failing server may refuse the request, which is allowed once.
     pub fn may_be_turned_away(&self) -> bool {
-        !self.was_turned_away
+        !self.was_refused_by_failing
     }
 
-    /// Whether another attempt may run beside one whose server has fallen silent.
+    /// Whether a hedge (a concurrent attempt at another server) is allowed when the server of an
+    /// attempt is unresponsive.
     pub fn may_hedge(&self) -> bool {
-        self.idempotent && self.asked.len() + 1 < self.max_servers
+        self.idempotent && self.sent_to.len() + 1 < self.max_servers
     }
 
-    /// Another attempt starts beside the one at `server`.
+    /// Records that a hedge starts while the attempt at `server` is still in progress.
     pub fn hedge(&mut self, server: &InstanceId) {
         self.is_hedged = true;
         self.excluded.push(server.clone());
     }
 
-    /// Takes in how the attempt at `server` ended, if it was not answered.
-    /// `is_other_in_progress` says that another attempt of the request is still
-    /// on its way. `may_repeat` pays for a repeat, and is asked only if one is due.
+    /// Records how the attempt at `server` ended, if it was not answered, and returns the next
+    /// step. `is_other_in_progress` tells whether another attempt of the request is still in
+    /// progress. `may_repeat` takes a retry from the retry budget and is called only if a retry
+    /// is due.
     pub fn attempt_ended(
         &mut self,
         server: &InstanceId,
@@ -249,30 +258,30 @@
                 reason,
                 retry_after,
             } => {
-                self.note_asked(server, *offered);
-                // One that names a time is not asked before it.
+                self.note_sent(server, *offered);
+                // A server that names a retry delay is not tried again before that.
                 let may_ask_again = *reason == NotRunReason::ServerRefused && retry_after.is_none();
-                self.pass_by(server, may_ask_again);
-                self.refused += 1;
-                self.was_turned_away |= *reason == NotRunReason::ServerFailing;
+                self.skip_server(server, may_ask_again);
+                self.refused_attempts += 1;
+                self.was_refused_by_failing |= *reason == NotRunReason::ServerFailing;
                 self.last_refusal = Some((*reason, *retry_after));
             }
             AttemptEnd::Unknown { .. } => {
-                self.note_asked(server, true);
-                self.pass_by(server, false);
+                self.note_sent(server, true);
+                self.skip_server(server, false);
                 self.may_have_run = true;
             }
         }
         if is_other_in_progress {
             return NextStep::Wait;
         }
-        if self.may_continue() && (self.asked.is_empty() || may_repeat()) {
+        if self.may_continue() && (self.sent_to.is_empty() || may_repeat()) {
             return NextStep::Attempt;
         }
         NextStep::Finish(self.give_up())
     }
 
-    /// What the caller is told if there is no server left to ask.
+    /// The answer to the caller if there is no server left to try.
     pub fn give_up(&self) -> FinalAnswer {
         if self.may_have_run {
             return FinalAnswer::Unknown;
@@ -287,8 +296,8 @@
         }
     }
 
-    /// What the caller is told if the request is found to crash servers, and may be tried
-    /// again after `retry_after`.
+    /// The answer to the caller if the request is found to crash servers; it may be retried
+    /// after `retry_after`.
     pub fn blocked(&self, retry_after: Duration) -> FinalAnswer {
         if self.may_have_run {
             return FinalAnswer::Unknown;
@@ -299,8 +308,8 @@
         }
     }
 
-    /// What the caller is told if its time is over. `in_progress` says that an
-    /// attempt was on its way.
+    /// The answer to the caller if the deadline has passed. `in_progress` tells whether an
+    /// attempt was in progress.
     pub fn timed_out(&self, in_progress: bool) -> FinalAnswer {
         if self.may_have_run || in_progress {
             return FinalAnswer::TimedOut;
@@ -311,34 +320,39 @@
         }
     }
 
-    fn note_asked(&mut self, server: &InstanceId, offered: bool) {
-        if offered && !self.asked.contains(server) {
-            self.asked.push(server.clone());
+    /// Records that the request was sent to `server` if `offered`.
+    fn note_sent(&mut self, server: &InstanceId, offered: bool) {
+        if offered && !self.sent_to.contains(server) {
+            self.sent_to.push(server.clone());
         }
     }
 
-    fn pass_by(&mut self, server: &InstanceId, may_ask_again: bool) {
+    /// Skips `server` for the next attempts. If `may_ask_again`, it may be tried again when no
+    /// other server is left.
+    fn skip_server(&mut self, server: &InstanceId, may_ask_again: bool) {
         self.refused_by.retain(|refusing| refusing != server);
-        let passed_by = if may_ask_again && !self.excluded.contains(server) {
+        let skipped = if may_ask_again && !self.excluded.contains(server) {
             &mut self.refused_by
         } else {
             &mut self.excluded
         };
-        if !passed_by.contains(server) {
-            passed_by.push(server.clone());
+        if !skipped.contains(server) {
+            skipped.push(server.clone());
         }
     }
 
+    /// Whether another attempt is allowed and can succeed.
     fn may_continue(&self) -> bool {
         let allowed = self.idempotent || !self.may_have_run;
         let is_futile = self.last_refusal.is_some_and(|(reason, _)| {
-            // What it needs further down, or does to them, is the same for all servers.
+            // The downstream services that a request needs, and whether it crashes the server that
+            // runs it, are the same for all servers.
             matches!(
                 reason,
                 NotRunReason::DownstreamOverloaded | NotRunReason::CrashesServers
             )
         });
-        let has_servers = self.asked.len() < self.max_servers || !self.refused_by.is_empty();
-        allowed && !is_futile && has_servers && self.refused < MAX_REFUSED_ATTEMPTS
+        let has_servers = self.sent_to.len() < self.max_servers || !self.refused_by.is_empty();
+        allowed && !is_futile && has_servers && self.refused_attempts < MAX_REFUSED_ATTEMPTS
     }
 }
--- a/crates/coordination/src/mesh/loss_estimate.rs
+++ b/crates/coordination/src/mesh/loss_estimate.rs
@@ -4,12 +4,12 @@
 
 use lifthollow_state::Timestamp;
 
-/// Weight of one answer in the share.
+/// Weight of a new sample in the exponential moving average.
 const GAIN: f64 = 0.1;
-/// Without news, half of the losses are forgotten in this time.
+/// Time in which the estimate halves while there are no new samples.
 const HALF_LIFE: Duration = Duration::from_millis(1500);
 
-/// The share of answers that were lost, spoilt or failures lately, 0 to 1.
+/// The recent share of answers that were lost, corrupted or failures, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LossEstimate {
     share: f64,
@@ -17,20 +17,20 @@
 }
 
 impl LossEstimate {
-    /// Takes in one answer, or the lack of one.
+    /// Adds one sample: an answer, or a lost one if `is_lost`.
     pub fn observe(&mut self, now: Timestamp, is_lost: bool) {
         let sample = f64::from(u8::from(is_lost));
         let share = self.at(now);
         self.set(now, share + (sample - share) * GAIN);
     }
 
-    /// Takes over what another node has found.
+    /// Replaces the estimate by the share that another node reported.
     pub fn set(&mut self, now: Timestamp, share: f64) {
         self.share = share.clamp(0.0, 1.0);
         self.updated = now;
     }
 
-    /// The share now: that of the last news, less and less.
+    /// The share at `now`: that of the last update, decayed by [`HALF_LIFE`].
     pub fn at(&self, now: Timestamp) -> f64 {
         if self.share == 0.0 {
             return 0.0;
--- a/crates/coordination/src/mesh/mod.rs
+++ b/crates/coordination/src/mesh/mod.rs
@@ -1,29 +1,31 @@
 //! Decisions for a mesh whose requests are routed by host and path.
 //!
-//! In the order in which a request meets them:
+//! The decisions in the order in which they are made for a request:
 //!
-//! 1. [`route_table`]: which route takes it;
-//! 2. [`tenants`]: whose it is, and whether its tenant may send one more;
-//! 3. [`weighted_split`]: which of the route's services;
-//! 4. [`call`]: whether there is another attempt, and what the caller is told;
-//! 5. [`server_selection`]: which server gets the attempt ([`server_wanted`], `server_suitability`);
-//! 6. [`retry_budget`]: whether a repeat may be spent on it ([`sent_counts`]);
-//! 7. [`server_admission`]: at the server's node, whether it runs, waits
+//! 1. [`route_table`]: which route the request takes;
+//! 2. [`tenants`]: which tenant sent it, and whether the tenant's quota allows another request;
+//! 3. [`weighted_split`]: which of the route's services gets it;
+//! 4. [`call`]: whether another attempt is made, and what the caller is answered;
+//! 5. [`server_selection`]: which server gets the attempt ([`server_wanted`],
+//!    `server_suitability`);
+//! 6. [`retry_budget`]: whether the fleet's retry bound allows a retry ([`sent_counts`]);
+//! 7. [`server_admission`]: at the server's node, whether the attempt runs, waits
 //!    ([`admission_queue`], `admission_place`) or is refused.
 //!
-//! [`rate_limits`] keeps servers below the limits that they name.
+//! [`rate_limits`] keeps the request rates of servers below the limits that they announce.
 //!
-//! [`processor_admission`] tells which requests the node's own processor has time for.
+//! [`processor_admission`] decides which attempts the node's own processor has time for.
 //!
-//! [`server_health`] and [`loss_estimate`] tell which servers fail what they are
-//! given. [`request_tree`] tells which request a nested call is made for, and
-//! [`nested_calls`] which servers it may go to.
+//! [`server_health`] and [`loss_estimate`] estimate the share of requests that a server
+//! fails. [`request_tree`] finds the request that a nested call is made for, and
+//! [`nested_calls`] determines which servers the call may go to.
 //!
-//! [`poison`] tells which requests crash the servers that run them.
+//! [`poison`] detects requests that crash the servers that run them.
 //!
-//! [`snapshot_store`] keeps what the node was told from outside, forward only.
-//! [`source_following`] tells what a node asks the source, and when. [`watchers`] tells which
-//! nodes ask it for all, and [`view_freshness`] when the others must.
+//! [`snapshot_store`] holds the configuration and the servers that the node was told of, and never
+//! replaces them by older ones. [`source_following`] decides what a node asks the source, and when.
+//! [`watchers`] decides which nodes ask the source on behalf of all, and [`view_freshness`] when
+//! the other nodes must ask it.
 
 mod admission_place;
 pub mod admission_queue;
--- a/crates/coordination/src/mesh/nested_calls.rs
+++ b/crates/coordination/src/mesh/nested_calls.rs
@@ -1,8 +1,9 @@
-//! What stands against a call that a server makes for a request of its own.
+//! Server requirements and admission levels for nested calls: calls that a server makes for a
+//! request that it runs.
 //!
-//! A run fails if any of its calls does. While the budget allows a repeat, a call
-//! may be tried at a server that fails part of what it is given; without, it goes
-//! to one that does not, and what such servers admit is what counts.
+//! A run fails if any of its calls fails. While the retry budget allows a retry, a call
+//! may be tried at a server that fails part of its requests. Otherwise it goes to a server
+//! that does not, and only the admission levels of such servers count.
 
 use lifthollow_protocol::AdmissionLevel;
 use lifthollow_state::{ServiceName, Timestamp};
@@ -11,7 +12,8 @@
 use crate::mesh::server_selection::ServerPool;
 use crate::mesh::server_wanted::Purpose;
 
-/// For whom an attempt at `service` is made, and whether it could be repeated.
+/// The purpose of an attempt at `service`: whether it is a nested call, and whether the retry
+/// budget would allow a retry of it.
 pub fn purpose(budgets: &RetryBudgets, now: Timestamp, service: &str, is_nested: bool) -> Purpose {
     if !is_nested {
         return Purpose::Request;
@@ -21,8 +23,8 @@
     }
 }
 
-/// The lowest level of nested calls that `service` lets through: none if it has no
-/// server, since each call would fail, and its run with it.
+/// The lowest level of nested calls that `service` admits. Without servers it is
+/// [`AdmissionLevel::CLOSED`], since each call would fail, and with it the run that makes it.
 pub fn admission_level(
     servers: &ServerPool,
     budgets: &RetryBudgets,
--- a/crates/coordination/src/mesh/reported_load.rs
+++ b/crates/coordination/src/mesh/reported_load.rs
@@ -1,18 +1,18 @@
-//! What a server's node tells of its load.
+//! The load that a server's node reports to the nodes of callers.
 
 use lifthollow_protocol::AdmissionLevel;
 
 use crate::mesh::admission_queue::Occupancy;
 
-/// What a server's node tells of its load with an answer.
+/// The load of a server, as its node reports it with an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReportedLoad {
-    /// Requests there.
+    /// Numbers of running and waiting requests at the server's node, and their limit.
     pub occupancy: Occupancy,
-    /// The lowest level that gets through there and further down.
+    /// The lowest level that the server and the downstream services it needs admit.
     pub level: AdmissionLevel,
-    /// Whether the level is that of nested calls.
+    /// Whether `level` applies to nested calls; otherwise it applies to callers' requests.
     pub is_nested: bool,
-    /// The share of requests from the asking node's zone that the server fails.
+    /// The share of requests from the receiving node's zone that the server fails, from 0 to 1.
     pub failure_share: f64,
 }
--- a/crates/coordination/src/mesh/request_tree.rs
+++ b/crates/coordination/src/mesh/request_tree.rs
@@ -1,12 +1,12 @@
-//! Which request a nested call belongs to.
+//! Finds the request that a nested call belongs to.
 //!
-//! A request and all the calls it leads to are one tree, and are admitted or
-//! refused as one: they share a [`Priority`], so that every server sheds the same
+//! A request and all the calls it leads to form a tree, and are admitted or
+//! refused together: they share a [`Priority`], so that every server sheds the same
 //! trees and no server works for a tree that fails elsewhere.
 //!
-//! A call doesn't name the request that it is made for. Its node knows what runs
-//! on the server beside it, though: a call belongs to the run whose identity its
-//! own begins with, or else to the run that has the same deadline.
+//! A call doesn't name the request that it is made for. However, its node knows which
+//! requests its local server runs: a call belongs to the run whose request ID is the
+//! prefix of the call's own, or else to the run that has the same deadline.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -16,29 +16,30 @@
 
 use crate::inbound::InboundId;
 
-/// Deadlines are told in whole milliseconds and arrive a little later.
+/// Maximum difference between the deadlines of a run and of its calls: deadlines are transmitted in
+/// whole milliseconds and arrive a little later.
 const DEADLINE_TOLERANCE: Duration = Duration::from_micros(2500);
-/// Separates the parts of the identity of a nested call.
+/// Separates the parts of the request ID of a nested call.
 const SEPARATOR: char = '.';
-/// User priorities there are.
-const USER_PRIORITIES: u64 = 128;
-/// Ranks of routes that are told apart among requests of tenants with one rank.
-const ROUTE_RANKS: u64 = 3;
-/// User priorities of each of these.
-const USERS_OF_ROUTE_RANK: u64 = USER_PRIORITIES / ROUTE_RANKS;
+/// Number of user priorities within each priority class.
+const USER_PRIORITIES_PER_CLASS: u64 = 128;
+/// Number of route ranks that are distinguished among requests of tenants with the same rank.
+const DISTINGUISHED_ROUTE_RANKS: u64 = 3;
+/// Number of user priorities for each of the distinguished route ranks.
+const USER_PRIORITIES_PER_ROUTE_RANK: u64 = USER_PRIORITIES_PER_CLASS / DISTINGUISHED_ROUTE_RANKS;
 
-/// What a nested call takes over from the request that it is made for.
+/// The properties that a nested call inherits from the run that makes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Parent {
-    /// The run.
+    /// Identifies the run that makes the call.
     pub run: InboundId,
-    /// The tree's place in the order of shedding.
+    /// The priority of the request tree, which determines the order of load shedding.
     pub priority: Priority,
-    /// Whether the run was a repeat, which makes its calls repeats too.
+    /// Whether the run was a retry, which makes its calls count as retries too.
     pub is_repeat: bool,
 }
 
-/// The runs on the server beside this node.
+/// The requests that this node's local server is running.
 #[derive(Clone, Debug, Default)]
 pub struct RunningRequests {
     by_id: HashMap<String, Run>,
@@ -52,20 +53,20 @@
 }
 
 impl RunningRequests {
-    /// A run starts.
-    pub fn started(&mut self, request_id: &str, deadline: Timestamp, as_parent: Parent) {
+    /// Records that a run starts, with the properties that its calls inherit.
+    pub fn started(&mut self, request_id: &str, deadline: Timestamp, inherited: Parent) {
         let run = Run {
-            parent: as_parent,
+            parent: inherited,
             deadline,
         };
-        if let Some(former) = self.by_id.insert(request_id.to_owned(), run) {
+        if let Some(previous) = self.by_id.insert(request_id.to_owned(), run) {
             self.by_deadline
-                .remove(&(former.deadline, request_id.to_owned()));
+                .remove(&(previous.deadline, request_id.to_owned()));
         }
         self.by_deadline.insert((deadline, request_id.to_owned()));
     }
 
-    /// A run has ended.
+    /// Removes a run that has ended, unless another run has taken over its request ID.
     pub fn ended(&mut self, request_id: &str, run: InboundId) {
         let known = self.by_id.get(request_id).map(|known| known.parent.run);
         if known != Some(run) {
@@ -77,31 +78,31 @@
         }
     }
 
-    /// The run that a call from the server beside this node is made for; none
-    /// for requests of callers.
+    /// The run that makes a call from this node's local server; `None` for requests of
+    /// callers.
     pub fn parent_of(&self, request_id: &str, deadline: Timestamp) -> Option<Parent> {
-        self.by_identity(request_id)
+        self.by_request_id(request_id)
             .or_else(|| self.by_deadline(deadline))
     }
 
-    /// Whether a call with this identity is made for a run on the server beside this node.
+    /// Whether the request ID shows that a run on this node's local server makes the call.
     pub fn has_parent(&self, request_id: &str) -> bool {
-        self.by_identity(request_id).is_some()
+        self.by_request_id(request_id).is_some()
     }
 
-    fn by_identity(&self, request_id: &str) -> Option<Parent> {
+    fn by_request_id(&self, request_id: &str) -> Option<Parent> {
         let (parent, _) = request_id.rsplit_once(SEPARATOR)?;
         Some(self.by_id.get(parent)?.parent)
     }
 
     fn by_deadline(&self, deadline: Timestamp) -> Option<Parent> {
-        let earliest = (deadline.saturating_sub(DEADLINE_TOLERANCE), String::new());
+        let range_start = (deadline.saturating_sub(DEADLINE_TOLERANCE), String::new());
         let distance = |known: Timestamp| {
             let after = known.saturating_since(deadline);
             after.max(deadline.saturating_since(known))
         };
         self.by_deadline
-            .range(earliest..)
+            .range(range_start..)
             .take_while(|(known, _)| *known <= deadline + DEADLINE_TOLERANCE)
             .min_by_key(|(known, _)| distance(*known))
             .and_then(|(_, id)| self.by_id.get(id))
@@ -109,18 +110,19 @@
     }
 }
 
-/// What a caller's request is worth to the operators; 0 is the most important.
+/// The importance that operators have assigned to a caller's request; rank 0 is the most important.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestRank {
-    /// Rank of its route.
+    /// Rank of the request's route.
     pub route: u8,
-    /// Rank of its tenant, which goes before that of its route; none if it has no tenant.
+    /// Rank of the request's tenant, which takes precedence over that of the route; `None` if the
+    /// request has no tenant.
     pub tenant: Option<u8>,
 }
 
-/// The place of a caller's request in the order of shedding: its tenant's rank, or its route's if
-/// it has none, and inside that one drawn from its identity. Among requests of tenants with one
-/// rank, those of the more important routes come first.
+/// The priority of a caller's request for load shedding. Its class follows from its tenant's rank,
+/// or from its route's if it has no tenant, and its user priority from a hash of its request ID.
+/// Among requests of tenants with the same rank, those of more important routes rank higher.
 pub fn priority_of_request(rank: RequestRank, request_id: &str) -> Priority {
     let class = match rank.tenant.unwrap_or(rank.route) {
         0 => PriorityClass::Critical,
@@ -128,13 +130,13 @@
         _ => PriorityClass::Sheddable,
     };
     let root = request_id.split(SEPARATOR).next().unwrap_or(request_id);
-    let drawn = xxh3_64(root.as_bytes());
+    let hash = xxh3_64(root.as_bytes());
     let user = match rank.tenant {
-        None => drawn % USER_PRIORITIES,
+        None => hash % USER_PRIORITIES_PER_CLASS,
         Some(_) => {
-            let least_important = ROUTE_RANKS - 1;
-            let place = least_important - u64::from(rank.route).min(least_important);
-            place * USERS_OF_ROUTE_RANK + drawn % USERS_OF_ROUTE_RANK
+            let least_important = DISTINGUISHED_ROUTE_RANKS - 1;
+            let importance = least_important - u64::from(rank.route).min(least_important);
+            importance * USER_PRIORITIES_PER_ROUTE_RANK + hash % USER_PRIORITIES_PER_ROUTE_RANK
         }
     };
     Priority {
--- a/crates/coordination/src/mesh/retry_budget.rs
+++ b/crates/coordination/src/mesh/retry_budget.rs
@@ -1,66 +1,65 @@
-//! The repeats that all nodes together may send to a service.
+//! The retry budget: the retries that all nodes together may send to a service.
 //!
 //! The bound of the fleet is a share of the requests of a window plus a fixed
-//! number; the window, the one before it or the one half a window before it
-//! counts, whichever has most requests. Nodes don't ask each other for leave: each
-//! keeps its part, which is the share of its own requests and an equal part of the
+//! number. The requests of the window, of the one before it or of the one half a window
+//! before it count, whichever has most. Nodes don't coordinate for a retry: each
+//! keeps to its own budget, which is the share of its own requests and an equal part of the
 //! fixed number.
 //!
-//! A node counts what it sent in short parts of a window ([`SentCounts`]). A repeat
-//! is sent if after it every window that has begun is within the node's part,
-//! whatever comes later, and if the last window is so by its own requests alone.
-//! Thus a burst of lost answers finds what the requests before it allow, and
-//! nothing older.
+//! A node counts what it sent in short buckets ([`SentCounts`]). A retry is sent if
+//! after it every window that has begun is within the node's budget, whatever comes
+//! later, and if the last window is so by its own requests alone. Thus a burst of lost
+//! answers can use what the requests before it allow, and nothing older.
 //!
-//! An attempt beside one that is late (a hedge) may be no more than load: in an
-//! overload many are late. Only little can be spent on those.
+//! A hedge (a concurrent attempt beside one that is late) may only add load: in an
+//! overload, many attempts are late. So hedges get only a small part of the budget.
 //!
-//! A repeat makes the nested calls of its run repeats too. Those can't be held
-//! back. They count where they are made, and a part of the bound is kept free for
-//! them. Repeats of callers' requests leave more of it, as each may lead to many.
+//! A retry makes the nested calls of its run retries too. Those can't be held
+//! back. They count at the node that makes them, and a part of the bound is kept free for
+//! them. Retries of callers' requests leave more of it free, as each may lead to many calls.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use lifthollow_state::Timestamp;
 
-use crate::mesh::sent_counts::{PARTS, SentCounts};
+use crate::mesh::sent_counts::{BUCKETS_PER_WINDOW, SentCounts};
 
-/// The part of the bound's share that repeats of nested calls may use.
+/// The part of [`FleetRetryBound::ratio`] that retries of nested calls may use.
 const NESTED_SHARE: f64 = 0.7;
-/// The part that repeats of callers' requests may use: all that is repeated may be
-/// repeated once more further down, within the bound.
+/// The part of [`FleetRetryBound::ratio`] that retries of callers' requests may use: each
+/// retry may cause one more retry downstream within the bound.
 const REQUEST_SHARE: f64 = 0.5;
-/// The part of the fixed number that nodes use. A node that starts anew has
-/// forgotten what it sent, and may use its part a second time.
+/// The part of [`FleetRetryBound::fixed`] that nodes use. A node that restarts has lost
+/// its counts, and may use its part a second time.
 const FIXED_SHARE: f64 = 0.35;
-/// The most that is kept for hedges.
+/// Maximum number of hedges that a node can save up for a service.
 const MAX_HEDGES: f64 = 2.0;
-/// Shorter windows are taken for this long.
+/// Minimum length of a window; shorter settings are raised to it.
 const MIN_WINDOW: Duration = Duration::from_millis(20);
 
-/// The bound for the fleet as a whole.
+/// The bound on the retries that the whole fleet sends to a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetRetryBound {
-    /// Repeats for each request.
+    /// Number of retries that are allowed per request.
     pub ratio: f64,
-    /// Repeats that are allowed besides, in each window.
+    /// Number of retries that are allowed in each window in addition to `ratio`.
     pub fixed: f64,
-    /// Length of a window.
+    /// Length of the windows in which retries are bounded.
     pub window: Duration,
 }
 
-/// What a repeat repeats.
+/// The kind of attempt that a retry repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeated {
     /// A request of a caller, the root of its tree.
     Request,
-    /// A call that a server makes for a request of its own.
+    /// A call that a server makes for a request that it runs.
     NestedCall,
 }
 
 impl Repeated {
-    /// The part of the bound's share that such repeats may use.
+    /// The part of [`FleetRetryBound::ratio`] that retries of this kind may use.
     fn share(self) -> f64 {
         match self {
             Repeated::Request => REQUEST_SHARE,
@@ -69,134 +68,146 @@
     }
 }
 
-/// What a node sent to one service, and what it may still send.
+/// What a node sent to one service lately, and the hedges that it may still send.
 #[derive(Clone, Debug, Default)]
-struct Account {
+struct ServiceBudget {
     sent: SentCounts,
-    /// What hedges may use of the rest.
-    hedges: f64,
+    /// Number of hedges that may still be sent, if the budget allows as many retries.
+    available_hedges: f64,
     hedges_refilled: Timestamp,
 }
 
-/// This node's part of the bound, for each service.
+/// This node's part of the fleet's retry bound, for each service.
 #[derive(Clone, Debug)]
 pub struct RetryBudgets {
     bound: FleetRetryBound,
     nodes: usize,
-    accounts: HashMap<String, Account>,
+    by_service: HashMap<String, ServiceBudget>,
 }
 
 impl RetryBudgets {
-    /// Budgets under `bound`, for one of as many nodes as
-    /// [`set_nodes`](Self::set_nodes) tells.
+    /// Creates the budgets under `bound` for a single node. [`set_nodes`](Self::set_nodes)
+    /// sets the number of nodes that share the bound.
     pub fn new(bound: FleetRetryBound) -> Self {
         RetryBudgets {
             bound,
             nodes: 1,
-            accounts: HashMap::new(),
+            by_service: HashMap::new(),
         }
     }
 
-    /// Sets how many nodes share the bound.
+    /// Sets the number of nodes that share the bound.
     pub fn set_nodes(&mut self, nodes: usize) {
         self.nodes = nodes.max(1);
     }
 
-    /// Sets the bound of the fleet. What was sent is counted anew if its window is
-    /// another one.
+    /// Sets the bound of the fleet. The counts are cleared if the length of the window
+    /// changes.
     pub fn set_bound(&mut self, bound: FleetRetryBound) {
         if bound.window != self.bound.window {
-            self.accounts.clear();
+            self.by_service.clear();
         }
         self.bound = bound;
     }
 
-    /// A request for `service` was sent for the first time.
+    /// Records that a request was sent to `service` for the first time.
     pub fn deposit(&mut self, now: Timestamp, service: &str) {
         let earned = self.bound.ratio * REQUEST_SHARE;
-        let part = self.part();
-        let account = self.account(now, service);
-        account.sent.note_request(now, part);
-        account.hedges = (account.hedges + earned).min(MAX_HEDGES);
+        let bucket_length = self.bucket_length();
+        let service_budget = self.service_budget(now, service);
+        service_budget.sent.count_request(now, bucket_length);
+        service_budget.available_hedges =
+            (service_budget.available_hedges + earned).min(MAX_HEDGES);
     }
 
-    /// Pays for one repeat to `service`; says whether there was enough.
+    /// Takes one retry to `service` from the budget. Returns false if the budget is used up.
     pub fn withdraw(&mut self, now: Timestamp, service: &str, repeated: Repeated) -> bool {
-        let is_enough = self.has_room(now, service, repeated);
-        if is_enough {
-            self.note_repeat(now, service);
+        let is_allowed = self.has_room(now, service, repeated);
+        if is_allowed {
+            self.count_retry(now, service);
         }
-        is_enough
+        is_allowed
     }
 
-    /// Whether [`withdraw`](Self::withdraw) would find enough for one repeat.
+    /// Whether [`withdraw`](Self::withdraw) would allow one retry.
     pub fn has_room(&self, now: Timestamp, service: &str, repeated: Repeated) -> bool {
-        let (share, fixed) = (self.bound.ratio * repeated.share(), self.fixed());
-        let known = self.accounts.get(service);
-        known.map_or(fixed >= 1.0, |known| {
-            known.sent.allows_repeat(now, self.part(), share, fixed)
+        let (share, fixed) = (self.bound.ratio * repeated.share(), self.node_fixed());
+        let service_budget = self.by_service.get(service);
+        service_budget.map_or(fixed >= 1.0, |service_budget| {
+            service_budget
+                .sent
+                .allows_retry(now, self.bucket_length(), share, fixed)
         })
     }
 
-    /// Pays for one attempt beside another that is late; says whether there was
-    /// enough.
+    /// Takes one hedge to `service` from the budget. Returns false if the budget or its
+    /// part for hedges is used up.
     pub fn withdraw_for_hedge(
         &mut self,
         now: Timestamp,
         service: &str,
         repeated: Repeated,
     ) -> bool {
-        if self.account(now, service).hedges < 1.0 || !self.withdraw(now, service, repeated) {
+        if self.service_budget(now, service).available_hedges < 1.0
+            || !self.withdraw(now, service, repeated)
+        {
             return false;
         }
-        self.account(now, service).hedges -= 1.0;
+        self.service_budget(now, service).available_hedges -= 1.0;
         true
     }
 
-    /// A call of a repeated run was sent to `service`.
+    /// Records that a nested call of a retried run was sent to `service`: it counts as a retry.
     pub fn inherited(&mut self, now: Timestamp, service: &str) {
-        self.note_repeat(now, service);
+        self.count_retry(now, service);
     }
 
-    fn note_repeat(&mut self, now: Timestamp, service: &str) {
-        let part = self.part();
-        self.account(now, service).sent.note_repeat(now, part);
+    /// Counts a retry to `service`.
+    fn count_retry(&mut self, now: Timestamp, service: &str) {
+        let bucket_length = self.bucket_length();
+        self.service_budget(now, service)
+            .sent
+            .count_retry(now, bucket_length);
     }
 
-    /// This node's part of the fixed number.
-    fn fixed(&self) -> f64 {
+    /// The part of [`FleetRetryBound::fixed`] that this node may use.
+    fn node_fixed(&self) -> f64 {
         self.bound.fixed * FIXED_SHARE / self.nodes as f64
     }
 
+    /// The length of a window, at least [`MIN_WINDOW`].
     fn window(&self) -> Duration {
         self.bound.window.max(MIN_WINDOW)
     }
 
-    /// Length of the parts in which a window is counted.
-    fn part(&self) -> Duration {
-        self.window() / PARTS
+    /// The length of the buckets in which a window is counted.
+    fn bucket_length(&self) -> Duration {
+        self.window() / BUCKETS_PER_WINDOW
     }
 
-    /// The account of `service` as of now.
-    fn account(&mut self, now: Timestamp, service: &str) -> &mut Account {
-        let fixed = self.fixed();
+    /// The counts of `service`, with the hedges that may be sent at `now`.
+    fn service_budget(&mut self, now: Timestamp, service: &str) -> &mut ServiceBudget {
+        let fixed = self.node_fixed();
         let window = self.window();
-        if !self.accounts.contains_key(service) {
-            let fresh = Account {
-                hedges: fixed.min(MAX_HEDGES),
+        if !self.by_service.contains_key(service) {
+            let fresh = ServiceBudget {
+                available_hedges: fixed.min(MAX_HEDGES),
                 hedges_refilled: now,
-                ..Account::default()
+                ..ServiceBudget::default()
             };
-            self.accounts.insert(service.to_owned(), fresh);
+            self.by_service.insert(service.to_owned(), fresh);
         }
-        let account = self
-            .accounts
+        let service_budget = self
+            .by_service
             .get_mut(service)
-            .expect("it was inserted above");
-        let passed = now.saturating_since(account.hedges_refilled).as_secs_f64();
+            .expect("the budget was inserted above");
+        let passed = now
+            .saturating_since(service_budget.hedges_refilled)
+            .as_secs_f64();
         let refill = fixed * passed / window.as_secs_f64();
-        account.hedges = (account.hedges + refill).min(MAX_HEDGES);
-        account.hedges_refilled = now;
-        account
+        service_budget.available_hedges =
+            (service_budget.available_hedges + refill).min(MAX_HEDGES);
+        service_budget.hedges_refilled = now;
+        service_budget
     }
 }
--- a/crates/coordination/src/mesh/route_table.rs
+++ b/crates/coordination/src/mesh/route_table.rs
@@ -1,11 +1,11 @@
-//! Finds the route of a request by its host and the longest path prefix.
+//! Finds the route of a request by its host and the longest matching path prefix.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use lifthollow_state::mesh::{Configuration, Route};
 
-/// The routes of one configuration, ready to be looked up.
+/// The routes of one configuration, indexed by host and path prefix.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     version: u64,
@@ -13,7 +13,7 @@
 }
 
 impl RouteTable {
-    /// The routes of `configuration`.
+    /// Creates the index of the routes of `configuration`.
     pub fn new(configuration: &Configuration) -> Self {
         let mut by_host: HashMap<String, HashMap<String, Arc<Route>>> = HashMap::new();
         for route in &configuration.routes {
@@ -28,21 +28,25 @@
         }
     }
 
-    /// The version of the configuration.
+    /// The version of the configuration that the routes come from.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The route that takes a request for `host` (a port after a colon is left
-    /// out of account) and `path` (without its query).
+    /// The route of a request for `host` (a port after a colon is ignored) and `path`
+    /// (without its query).
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.split(':').next().unwrap_or(host);
         let by_prefix = match self.by_host.get(host) {
             Some(by_prefix) => by_prefix,
             None => self.by_host.get(&host.to_ascii_lowercase())?,
         };
-        let ends = path.char_indices().rev().filter(|(_, sign)| *sign == '/');
-        ends.map(|(position, _)| &path[..=position])
+        let slashes = path
+            .char_indices()
+            .rev()
+            .filter(|(_, character)| *character == '/');
+        slashes
+            .map(|(position, _)| &path[..=position])
             .find_map(|prefix| by_prefix.get(prefix))
     }
 }
--- a/crates/coordination/src/mesh/sent_counts.rs
+++ b/crates/coordination/src/mesh/sent_counts.rs
@@ -1,135 +1,140 @@
-//! What a node sent to one service lately, counted in parts of a window.
+//! Counts of the requests and retries that a node sent to one service lately, in buckets of a
+//! fixed fraction of a window.
 //!
-//! A window that is judged may begin anywhere inside a part, and has not ended.
-//! Requests are counted only in parts that lie in it as a whole, repeats in all that
-//! it touches, so that the rounding never allows too much.
+//! A window that is checked may begin anywhere inside a bucket, and has not ended.
+//! Requests are counted only in buckets that lie completely within the window, retries in all
+//! buckets that overlap it, so that the rounding never allows too many retries.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use lifthollow_state::Timestamp;
 
-/// Parts of a window.
-pub const PARTS: u32 = 20;
-const WINDOW: usize = PARTS as usize;
-/// Parts that are remembered: as far back as requests count for a window.
-const REMEMBERED: usize = 2 * WINDOW + 1;
-/// The newest of the remembered parts.
-const NEWEST: usize = REMEMBERED - 1;
+/// Number of buckets in a window.
+pub const BUCKETS_PER_WINDOW: u32 = 20;
+/// [`BUCKETS_PER_WINDOW`] as a `usize`.
+const WINDOW_BUCKETS: usize = BUCKETS_PER_WINDOW as usize;
+/// Number of buckets that are kept: as far back as requests count for a window.
+const KEPT_BUCKETS: usize = 2 * WINDOW_BUCKETS + 1;
+/// Index of the newest of the kept buckets.
+const NEWEST: usize = KEPT_BUCKETS - 1;
 
-/// What was sent in one part of a window.
+/// What was sent within one bucket.
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct Bucket {
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-/// Requests and repeats of the last two windows.
+/// Numbers of requests and retries in the last two windows.
 #[derive(Clone, Debug, Default)]
 pub struct SentCounts {
-    /// The newest part comes last; at most [`REMEMBERED`].
-    parts: VecDeque<Part>,
-    /// Number of the newest part since the beginning of time.
+    /// The kept buckets, oldest first; at most [`KEPT_BUCKETS`].
+    buckets: VecDeque<Bucket>,
+    /// Number of the newest bucket, counted from [`Timestamp::ZERO`].
     newest: u64,
 }
 
 impl SentCounts {
-    /// A request was sent for the first time. A part is `length` long.
-    pub fn note_request(&mut self, now: Timestamp, length: Duration) {
-        self.current(now, length).requests += 1;
+    /// Counts a request that was sent for the first time. A bucket is `length` long.
+    pub fn count_request(&mut self, now: Timestamp, length: Duration) {
+        self.current_bucket(now, length).requests += 1;
     }
 
-    /// A repeat was sent.
-    pub fn note_repeat(&mut self, now: Timestamp, length: Duration) {
-        self.current(now, length).repeats += 1;
+    /// Counts a retry that was sent. A bucket is `length` long.
+    pub fn count_retry(&mut self, now: Timestamp, length: Duration) {
+        self.current_bucket(now, length).retries += 1;
     }
 
-    fn current(&mut self, now: Timestamp, length: Duration) -> &mut Part {
-        let number = number_at(now, length);
+    /// The bucket of `now`, which is added if needed. Buckets that are too old are removed.
+    fn current_bucket(&mut self, now: Timestamp, length: Duration) -> &mut Bucket {
+        let number = bucket_number(now, length);
         let passed = number.saturating_sub(self.newest);
         self.newest = self.newest.max(number);
-        if passed >= REMEMBERED as u64 {
-            self.parts.clear();
+        if passed >= KEPT_BUCKETS as u64 {
+            self.buckets.clear();
         } else {
-            let others = passed as usize;
-            self.parts
-                .extend(std::iter::repeat_n(Part::default(), others));
+            let skipped_and_new = passed as usize;
+            self.buckets
+                .extend(std::iter::repeat_n(Bucket::default(), skipped_and_new));
         }
-        if self.parts.is_empty() {
-            self.parts.push_back(Part::default());
+        if self.buckets.is_empty() {
+            self.buckets.push_back(Bucket::default());
         }
-        let surplus = self.parts.len().saturating_sub(REMEMBERED);
-        self.parts.drain(..surplus);
-        self.parts
+        let surplus = self.buckets.len().saturating_sub(KEPT_BUCKETS);
+        self.buckets.drain(..surplus);
+        self.buckets
             .back_mut()
-            .expect("one was added if there was none")
+            .expect("a bucket was added if there was none")
     }
 
-    /// Whether one more repeat leaves every window that has begun with at most
-    /// `ratio` times its requests and `fixed` besides, whatever comes later.
-    pub fn allows_repeat(&self, now: Timestamp, length: Duration, ratio: f64, fixed: f64) -> bool {
-        let sums = Sums::of(self, number_at(now, length));
-        let is_within = |requests: u32, repeats: u32| {
-            f64::from(repeats + 1) <= ratio * f64::from(requests) + fixed
+    /// Whether after one more retry every window that has begun has at most `ratio` times its
+    /// requests plus `fixed` retries, whatever comes later. A bucket is `length` long.
+    pub fn allows_retry(&self, now: Timestamp, length: Duration, ratio: f64, fixed: f64) -> bool {
+        let sums = PrefixSums::of(self, bucket_number(now, length));
+        let is_within = |requests: u32, retries: u32| {
+            f64::from(retries + 1) <= ratio * f64::from(requests) + fixed
         };
-        let last_window = NEWEST - WINDOW;
+        let last_window = NEWEST - WINDOW_BUCKETS;
         let requests_of_last = sums.requests(last_window + 1, NEWEST);
-        is_within(requests_of_last, sums.repeats(last_window, NEWEST))
+        is_within(requests_of_last, sums.retries(last_window, NEWEST))
             && (last_window..=NEWEST)
-                .all(|first| is_within(sums.requests_counted(first), sums.repeats(first, NEWEST)))
+                .all(|first| is_within(sums.counted_requests(first), sums.retries(first, NEWEST)))
     }
 }
 
-/// Number of the part that `now` lies in.
-fn number_at(now: Timestamp, length: Duration) -> u64 {
+/// Number of the bucket that `now` lies in, counted from [`Timestamp::ZERO`].
+fn bucket_number(now: Timestamp, length: Duration) -> u64 {
     (now.saturating_since(Timestamp::ZERO).as_micros() / length.as_micros()) as u64
 }
 
-/// Sums over all parts that are remembered up to a moment, oldest first; each holds
-/// what was sent before the part of its index.
-struct Sums {
-    requests: [u32; REMEMBERED + 1],
-    repeats: [u32; REMEMBERED + 1],
+/// Prefix sums over all kept buckets up to a moment, oldest first: each entry holds what was
+/// sent before the bucket of its index.
+struct PrefixSums {
+    requests: [u32; KEPT_BUCKETS + 1],
+    retries: [u32; KEPT_BUCKETS + 1],
 }
 
-impl Sums {
-    /// As of the part `current`.
+impl PrefixSums {
+    /// The sums at a time in the bucket with the number `current`.
     fn of(counts: &SentCounts, current: u64) -> Self {
-        let passed = current.saturating_sub(counts.newest).min(REMEMBERED as u64) as usize;
-        let known = counts.parts.len();
-        let mut sums = Sums {
-            requests: [0; REMEMBERED + 1],
-            repeats: [0; REMEMBERED + 1],
+        let passed = current
+            .saturating_sub(counts.newest)
+            .min(KEPT_BUCKETS as u64) as usize;
+        let known = counts.buckets.len();
+        let mut sums = PrefixSums {
+            requests: [0; KEPT_BUCKETS + 1],
+            retries: [0; KEPT_BUCKETS + 1],
         };
-        for index in 0..REMEMBERED {
-            // How many parts lie between this one and the newest that is known.
-            let age = (REMEMBERED - index).checked_sub(passed + 1);
-            let place = age.and_then(|age| known.checked_sub(age + 1));
-            let part = place.map_or(Part::default(), |place| counts.parts[place]);
-            sums.requests[index + 1] = sums.requests[index] + part.requests;
-            sums.repeats[index + 1] = sums.repeats[index] + part.repeats;
+        for index in 0..KEPT_BUCKETS {
+            // Number of buckets between this one and the newest that is known.
+            let age = (KEPT_BUCKETS - index).checked_sub(passed + 1);
+            let position = age.and_then(|age| known.checked_sub(age + 1));
+            let bucket = position.map_or(Bucket::default(), |position| counts.buckets[position]);
+            sums.requests[index + 1] = sums.requests[index] + bucket.requests;
+            sums.retries[index + 1] = sums.retries[index] + bucket.retries;
         }
         sums
     }
 
-    /// Requests in the parts from `first` to `last`.
+    /// The number of requests in the buckets from `first` to `last`.
     fn requests(&self, first: usize, last: usize) -> u32 {
         self.requests[last + 1] - self.requests[first.min(last + 1)]
     }
 
-    /// Repeats in the parts from `first` to `last`.
-    fn repeats(&self, first: usize, last: usize) -> u32 {
-        self.repeats[last + 1] - self.repeats[first]
+    /// The number of retries in the buckets from `first` to `last`.
+    fn retries(&self, first: usize, last: usize) -> u32 {
+        self.retries[last + 1] - self.retries[first]
     }
 
-    /// The requests that count for a window that begins in part `first`, as far as
-    /// they were sent: of the window, of that half a window earlier, or of the one
-    /// before it.
-    fn requests_counted(&self, first: usize) -> u32 {
-        let in_it = self.requests(first + 1, NEWEST);
-        let middle = (first + WINDOW / 2 - 1).min(NEWEST);
-        let half_before = self.requests(first - WINDOW / 2 + 1, middle);
-        let before = self.requests(first - WINDOW + 1, first - 1);
-        in_it.max(half_before).max(before)
+    /// The number of requests that count for a window that begins in bucket `first`, among
+    /// those already sent: the requests of that window, of the window half a window earlier,
+    /// or of the window before it, whichever are most.
+    fn counted_requests(&self, first: usize) -> u32 {
+        let in_window = self.requests(first + 1, NEWEST);
+        let middle = (first + WINDOW_BUCKETS / 2 - 1).min(NEWEST);
+        let half_window_earlier = self.requests(first - WINDOW_BUCKETS / 2 + 1, middle);
+        let window_before = self.requests(first - WINDOW_BUCKETS + 1, first - 1);
+        in_window.max(half_window_earlier).max(window_before)
     }
 }
--- a/crates/coordination/src/mesh/server_admission.rs
+++ b/crates/coordination/src/mesh/server_admission.rs
@@ -1,10 +1,10 @@
-//! Admission of attempts to the server beside a node: the decisions composed.
+//! Admission of attempts to a node's local server: combines the individual decisions.
 //!
-//! An attempt passes, in this order: whether the server answers at all, whether
-//! it fails much while another has room ([`ServerHealth`]), what the services needed further down
-//! admit, the limit that the server names, a free slot, the queue. Each step can
-//! refuse it, at once. What is turned away moves the admission level that
-//! callers' nodes are told ([`AdmissionThreshold`]).
+//! These are checked for an attempt, in this order: whether the server is responsive; whether it
+//! fails many requests while another server has free slots ([`ServerHealth`]); what the downstream
+//! services that the request needs admit; the rate limit that the server announces; free slots; the
+//! queue. Each step can refuse the attempt at once. Refusals by the queue raise the admission
+//! level that is reported to callers' nodes ([`AdmissionThreshold`]).
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 
 use crate::inbound::InboundId;
 use crate::inbound::admission_threshold::{self, AdmissionThreshold};
-use crate::mesh::admission_place::{level_of_nested, place, rank};
+use crate::mesh::admission_place::{level_at_server, queue_rank, tree_level_of_nested};
 use crate::mesh::admission_queue::{Admission, AdmissionQueue, Occupancy, Ticket};
 use crate::mesh::call::NotRunReason;
 use crate::mesh::processor_admission::ProcessorAdmission;
@@ -22,52 +22,53 @@
 use crate::mesh::server_health::{RunEnd, ServerHealth};
 use crate::pressure::{CallGraph, CallSource, downstream_level};
 
-/// An attempt that asks to run.
+/// An attempt that has arrived at the node of the server that should run it.
 #[derive(Clone, Debug)]
 pub struct ArrivingAttempt {
-    /// The caller's identity of the request.
+    /// The request ID that the caller has assigned.
     pub request_id: String,
-    /// Its place in the order of shedding.
+    /// The priority of the request, which determines the order of load shedding.
     pub priority: Priority,
-    /// Whether it was made by another server, for a request of its own.
+    /// Whether another server made the attempt, for a request that it runs.
     pub is_nested: bool,
-    /// Whether a server may have run it, or the request it is made for, before.
+    /// Whether a server may already have run the request, or the request that a nested call is
+    /// made for.
     pub is_repeat: bool,
-    /// When its caller's node gives it up.
+    /// When the caller's node stops waiting for the answer.
     pub deadline: Timestamp,
-    /// How long it can wait.
+    /// Maximum time that the attempt can wait in the queue.
     pub patience: Duration,
-    /// The zone that the request started in.
+    /// The zone in which the request originated.
     pub zone: String,
-    /// Whether another server has room for it.
+    /// Whether another server has free slots for the attempt.
     pub may_go_elsewhere: bool,
 }
 
-/// What becomes of an attempt.
+/// The admission decision on an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It runs now.
+    /// The attempt runs now.
     Run,
-    /// It waits until it is named by [`ServerAdmission::finish`].
+    /// The attempt waits until a call such as [`ServerAdmission::finish`] returns its ticket.
     Wait(Ticket),
-    /// It is not run.
+    /// The attempt is refused and is not run.
     Refuse {
-        /// Why.
+        /// Why the attempt is refused.
         reason: NotRunReason,
-        /// When there may be room.
+        /// Time after which the caller may retry; `None` if no time is known.
         retry_after: Option<Duration>,
     },
 }
 
-/// While a needed service has no server, one request in this time is run all the
-/// same: what runs need is learned from runs, and may have changed.
+/// While a needed downstream service has no server, one request per interval of this length is
+/// still run: the services that runs need are learned from runs, and may have changed.
 const TRIAL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Attempts that may wait before the level rises, relative to the square root of
-/// those that run. Runs are short against the time that a request has.
+/// Number of attempts that may wait before the admission level rises, relative to the square
+/// root of the number that run. Runs are short compared to the time that a request has.
 const TARGET_QUEUE: f64 = 2.5;
 
-/// State of the admission to one server.
+/// Admission state of one server.
 #[derive(Debug)]
 pub struct ServerAdmission {
     service: ServiceName,
@@ -78,16 +79,17 @@
     running: RunningRequests,
     health: ServerHealth,
     next_run: u64,
-    /// The start of a server that stands beside the node, as last known.
+    /// The last known instance of the local server; each start of a server is an instance.
     server: Option<InstanceId>,
-    /// What the server said of itself last.
+    /// The last notice of the server: its rate limit, and whether it is leaving.
     notice: ServerNotice,
-    /// When a request was last run though a service that it needs has no server.
+    /// When a request was last run although a service that it needs has no server.
     last_trial: Timestamp,
 }
 
 impl ServerAdmission {
-    /// Admission to a server of `service` that takes `limit` requests at once.
+    /// Creates the admission to a server of `service` that runs up to `limit` requests
+    /// concurrently.
     pub fn new(service: &str, limit: u32) -> Self {
         ServerAdmission {
             service: ServiceName::new(service),
@@ -104,86 +106,90 @@
         }
     }
 
-    /// Sets how many requests may be at the server at once. Returns those that
-    /// may run now.
+    /// Sets the maximum number of requests that the server runs concurrently. Returns the
+    /// tickets of waiting attempts that now run.
     pub fn set_limit(&mut self, now: Timestamp, limit: u32) -> Vec<Ticket> {
         self.queue.set_limit(now, limit)
     }
 
-    /// Another server, or another start of the same one, stands beside this node. How it fails
-    /// and whether it answers is not known yet. Without that, one that had failed all its requests
-    /// and started again was turned away for further seconds (test
-    /// `a_server_that_starts_again_is_not_held_for_what_it_did_before`).
+    /// Records that the local server is another instance: another server, or a restart of the same
+    /// one. Its failures and responsiveness are not known yet, so what was known of the former is
+    /// discarded. Otherwise, attempts at a server that had failed all its requests and restarted
+    /// would be refused for several more seconds (test
+    /// `restart_of_the_server_resets_its_failure_share`).
     pub fn server_started(&mut self, now: Timestamp, server: &InstanceId) {
-        self.queue.server_started(now);
+        self.queue.note_server_start(now);
         self.health.server_started();
         let before = self.server.replace(server.clone());
-        // An entry that was gone for a while is no new start.
+        // An entry that was missing for a while and names the same instance is not a restart.
         if before.is_some_and(|before| before != *server) {
             self.notice = ServerNotice::default();
-            self.queue.server_replaced();
+            self.queue.reset_rate_limit();
         }
     }
 
-    /// An answer of `server` says this of it. Returns the attempts that may run now.
+    /// Records the notice in an answer of `server`. Returns the tickets of waiting attempts that
+    /// now run.
     pub fn server_noticed(
         &mut self,
         now: Timestamp,
         server: &InstanceId,
         notice: ServerNotice,
     ) -> Vec<Ticket> {
-        // What a start before said is of no use.
+        // The notice of a former instance is obsolete.
         if self.server.as_ref().is_some_and(|known| known != server) {
             return Vec::new();
         }
         self.notice = notice;
-        self.queue.server_named(now, notice.limit)
+        self.queue.set_rate_limit(now, notice.limit)
     }
 
-    /// Attempts that wait longer than they can, by the limit that the server names now.
+    /// Waiting attempts whose expected wait under the server's current rate limit exceeds their
+    /// maximum wait.
     pub fn waiting_in_vain(&self, now: Timestamp) -> Vec<Ticket> {
-        self.queue.waiting_in_vain(now)
+        self.queue.waits_exceeding_patience(now)
     }
 
-    /// A node whose attempt has come was told this limit of the server.
+    /// Records that the node that sent an attempt was told this rate limit of the server.
     pub fn others_were_told(&mut self, now: Timestamp, limit: RequestRate) {
-        self.queue.others_were_told(now, limit);
+        self.queue.note_limit_told_to_others(now, limit);
     }
 
-    /// What the server said of itself last.
+    /// The last notice of the server: its rate limit, and whether it is leaving.
     pub fn notice(&self) -> ServerNotice {
         self.notice
     }
 
-    /// Whether `server` is the one beside this node and says in its answers that it leaves. That
-    /// counts although its entry may be gone.
+    /// Whether `server` is the local server and says in its answers that it is leaving. This holds
+    /// even if its entry has been removed.
     pub fn says_it_leaves(&self, server: &InstanceId) -> bool {
         let own = self.server.as_ref();
         self.notice.is_leaving && own.is_some_and(|own| own.is_same_server(server))
     }
 
-    /// The time until an attempt that waits for the server's limit may run, if one does.
+    /// The time until the server's rate limit admits the next waiting attempt; `None` unless
+    /// attempts wait only for the rate limit.
     pub fn next_start(&self, now: Timestamp) -> Option<Duration> {
         self.queue.next_start(now)
     }
 
-    /// The attempts that may run now.
+    /// Starts the waiting attempts that may run now, and returns their tickets.
     pub fn start_waiting(&mut self, now: Timestamp) -> Vec<Ticket> {
         self.queue.start_waiting(now)
     }
 
-    /// The load here.
+    /// The current load of the server and its queue.
     pub fn occupancy(&self) -> Occupancy {
         self.queue.occupancy()
     }
 
-    /// Whether the server has stopped answering.
+    /// Whether the server is unresponsive: it has stopped answering.
     pub fn is_silent(&self, now: Timestamp) -> bool {
         self.queue.is_silent(now)
     }
 
-    /// The lowest level that gets through here and further down, where
-    /// `level_of` tells the level of a service.
+    /// The lowest level that this server and the downstream services it needs admit, for nested
+    /// calls or callers' requests. `level_of` returns the level of a service.
     pub fn level(
         &self,
         is_nested: bool,
@@ -192,26 +198,27 @@
         let needed = downstream_level(&self.graph, &self.source(is_nested), level_of);
         let own = self.threshold.level().max(self.processor.level());
         if is_nested {
-            needed.max(level_of_nested(own))
+            needed.max(tree_level_of_nested(own))
         } else {
             needed.max(own)
         }
     }
 
-    /// An attempt arrived.
+    /// Decides whether an attempt that arrived runs, waits or is refused. `level_of` returns the
+    /// lowest level that a service admits.
     pub fn arrive(
         &mut self,
         now: Timestamp,
         attempt: &ArrivingAttempt,
         level_of: impl Fn(&ServiceName) -> AdmissionLevel,
     ) -> Verdict {
-        if !self.queue.may_try(now) {
+        if !self.queue.allows_attempt(now) {
             return refusal(NotRunReason::ServerUnreachable, None);
         }
-        if attempt.may_go_elsewhere && self.health.turns_away(now, &attempt.zone) {
+        if attempt.may_go_elsewhere && self.health.should_refuse(now, &attempt.zone) {
             return refusal(NotRunReason::ServerFailing, None);
         }
-        if !attempt.is_nested && !self.is_admitted_further_down(now, attempt.priority, level_of) {
+        if !attempt.is_nested && !self.is_admitted_downstream(now, attempt.priority, level_of) {
             return refusal(NotRunReason::DownstreamOverloaded, None);
         }
         let is_at_rate_limit = self.queue.is_at_rate_limit(now);
@@ -219,9 +226,9 @@
             return refusal(NotRunReason::RateLimited, None);
         }
         self.observe(now);
-        self.threshold.arrived(place(attempt));
-        self.processor.arrived(now, place(attempt));
-        match self.queue.offer(now, rank(attempt), attempt.patience) {
+        self.threshold.arrived(level_at_server(attempt));
+        self.processor.arrived(now, level_at_server(attempt));
+        match self.queue.admit(now, queue_rank(attempt), attempt.patience) {
             Admission::Run => Verdict::Run,
             Admission::Wait(ticket) => Verdict::Wait(ticket),
             Admission::Refuse { retry_after } => {
@@ -235,16 +242,16 @@
         }
     }
 
-    /// An attempt stopped waiting; `in_vain` if it waited as long as it could.
-    /// False if it was not waiting any more: then it counts as running.
-    pub fn withdraw(&mut self, attempt: &ArrivingAttempt, ticket: Ticket, in_vain: bool) -> bool {
-        if in_vain {
+    /// Removes an attempt that stopped waiting; `timed_out` if it reached its maximum wait.
+    /// Returns false if it was no longer waiting: then it counts as running.
+    pub fn withdraw(&mut self, attempt: &ArrivingAttempt, ticket: Ticket, timed_out: bool) -> bool {
+        if timed_out {
             self.threshold.turned_away();
         }
-        self.queue.withdraw(rank(attempt), ticket)
+        self.queue.withdraw(queue_rank(attempt), ticket)
     }
 
-    /// An attempt goes to the server.
+    /// Records that an attempt is sent to the server, and returns the ID of its run.
     pub fn started(&mut self, now: Timestamp, attempt: &ArrivingAttempt) -> InboundId {
         let run = InboundId(self.next_run);
         self.next_run += 1;
@@ -252,24 +259,24 @@
         self.graph.arrived(run, source, attempt.priority.class);
         self.health
             .started(now, run, &attempt.zone, attempt.is_nested);
-        let as_parent = Parent {
+        let inherited = Parent {
             run,
             priority: attempt.priority,
             is_repeat: attempt.is_repeat,
         };
         self.running
-            .started(&attempt.request_id, attempt.deadline, as_parent);
+            .started(&attempt.request_id, attempt.deadline, inherited);
         run
     }
 
-    /// The server answered a run; `success` unless it failed.
+    /// Records that the server answered a run; `success` unless the answer is a failure.
     pub fn answered(&mut self, now: Timestamp, run: InboundId, success: bool) {
-        self.queue.answered(now);
+        self.queue.note_answer(now);
         self.graph.completed(run, success);
     }
 
-    /// A run is over. `ran_for` is told if the server answered. Returns the
-    /// attempts that may run now.
+    /// Records that a run ended. `ran_for` is its duration if the server answered. Returns the
+    /// tickets of waiting attempts that now run.
     pub fn finish(
         &mut self,
         now: Timestamp,
@@ -287,43 +294,46 @@
         self.queue.finish(now, ran_for)
     }
 
-    /// A place that was given to an attempt was not used.
+    /// Releases the slot of an attempt that was admitted but never reached the server. Returns the
+    /// tickets of waiting attempts that now run.
     pub fn give_back(&mut self, now: Timestamp) -> Vec<Ticket> {
-        self.queue.give_back(now)
+        self.queue.release_unused_slot(now)
     }
 
-    /// The request that a call from the server is made for.
+    /// The run that makes a call from the local server; `None` for requests of callers.
     pub fn parent_of(&self, request_id: &str, deadline: Timestamp) -> Option<Parent> {
         self.running.parent_of(request_id, deadline)
     }
 
-    /// Whether a call with this identity is made for a run on the server beside this node.
+    /// Whether the request ID shows that a run on this node's local server makes the call.
     pub fn has_parent(&self, request_id: &str) -> bool {
         self.running.has_parent(request_id)
     }
 
-    /// A run called another service.
+    /// Records that a run calls another service.
     pub fn called(&mut self, run: InboundId, service: &str) {
         self.graph.called(run, &ServiceName::new(service));
         self.health.call_started(run);
     }
 
-    /// A call that a run made has ended.
+    /// Records that a call made by a run has ended.
     pub fn call_ended(&mut self, run: InboundId, has_failed: bool) {
         self.health.call_ended(run, has_failed);
     }
 
-    /// How long a run may take before it is overdue; none if that is not known.
+    /// Time after which a run is overdue; `None` while no run times are known.
     pub fn overdue_after(&self, is_nested: bool) -> Option<Duration> {
         self.health.overdue_after(is_nested)
     }
 
-    /// A run has no answer although it is overdue.
+    /// Records that a run is overdue: it has had no answer for
+    /// [`overdue_after`](Self::overdue_after).
     pub fn overdue(&mut self, now: Timestamp, run: InboundId) {
         self.health.overdue(now, run);
     }
 
-    /// The zone whose requests the server fails most, if it turns any away.
+    /// The zone with the largest share of failed requests, and that share, if attempts are refused
+    /// for it.
     pub fn failing_zone(&self, now: Timestamp) -> Option<(&str, f64)> {
         self.health.failing_zone(now)
     }
@@ -333,20 +343,20 @@
         self.health.failure_share(now, zone)
     }
 
-    /// The node's thread was woken `lateness` later than it had asked for.
+    /// Records that the node's thread was woken `lateness` later than requested.
     pub fn woken_late(&mut self, now: Timestamp, lateness: Duration) {
         self.processor.observe(now, lateness);
     }
 
-    /// The lowest level that the node's own processor has time for, and how late its thread was
-    /// woken last.
+    /// The lowest level that the node's own processor has time for, and how much later than
+    /// requested the node's thread was last woken.
     pub fn processor(&self) -> (AdmissionLevel, Duration) {
         (self.processor.level(), self.processor.lateness())
     }
 
-    /// Accounts for the time that has passed.
+    /// Updates the admission level by the current load and the time that has passed.
     pub fn observe(&mut self, now: Timestamp) {
-        let load = self.queue.limiting_load(now);
+        let load = self.queue.occupancy_under_rate_limit(now);
         let occupancy = admission_threshold::Occupancy {
             running: load.running as usize,
             limit: load.limit,
@@ -355,10 +365,10 @@
         self.threshold.observe(now, occupancy);
     }
 
-    /// Whether the services needed by a request of a caller admit it. Nested calls
-    /// are not held to that: work has been done for their trees already, and what
-    /// was admitted above the line a moment ago is little.
-    fn is_admitted_further_down(
+    /// Whether the downstream services that a caller's request needs admit it. Nested calls are
+    /// not checked: work has already been done for their request trees, and few of those were
+    /// admitted just before the level rose.
+    fn is_admitted_downstream(
         &mut self,
         now: Timestamp,
         priority: Priority,
@@ -377,7 +387,8 @@
         is_trial
     }
 
-    /// Nested calls need other services than requests of callers.
+    /// The call graph's key for runs on this server: nested calls and callers' requests have
+    /// separate keys because they need different services.
     fn source(&self, is_nested: bool) -> CallSource {
         CallSource {
             service: self.service.clone(),
--- a/crates/coordination/src/mesh/server_health.rs
+++ b/crates/coordination/src/mesh/server_health.rs
@@ -1,9 +1,9 @@
-//! Whether the server beside a node serves what it is given.
+//! Tracks which share of its requests a node's local server fails.
 //!
 //! A server can fail part of its requests, for all callers or for those of one
-//! zone, while its health check is good. Its node sees the answers of all
-//! requests and so finds out first; callers' nodes are told the share with every
-//! answer. Failures that come from a nested call are not the server's own.
+//! zone, while its health check succeeds. Its node sees the answers to all
+//! requests and so detects this first; callers' nodes are told the share with every
+//! answer. Failures that are caused by a nested call don't count against the server.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,24 +14,24 @@
 use crate::latency::LatencyEstimate;
 use crate::mesh::loss_estimate::LossEstimate;
 
-/// A run is not called overdue before this time.
+/// Minimum time after which a run counts as overdue.
 const MIN_OVERDUE: Duration = Duration::from_millis(300);
-/// A run is overdue after this many times what almost all runs take.
+/// A run is overdue after this multiple of the time within which almost all runs end.
 const OVERDUE_FACTOR: u32 = 2;
-/// From this share of failures on, attempts that can go elsewhere are turned away.
-const TURN_AWAY_SHARE: f64 = 0.15;
-/// One in so many attempts still runs, so that a server which has recovered is
-/// found out.
+/// Share of failures from which on attempts that can go to another server are refused.
+const REFUSAL_FAILURE_SHARE: f64 = 0.15;
+/// One in this many attempts still runs at a failing server, to detect when it has
+/// recovered.
 const TRIAL_INTERVAL: u32 = 8;
 
 /// How a run on the server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The server answered, and it was no failure.
+    /// The server answered, and the answer is not a failure.
     Served,
-    /// The server failed it, refused it without need, or lost the answer.
+    /// The server failed the run, refused it without need, or lost the answer.
     Failed,
-    /// Nobody waits for it any more.
+    /// The run was abandoned: nobody waits for its answer any more.
     Abandoned,
 }
 
@@ -42,27 +42,29 @@
     started: Timestamp,
     calls_in_progress: u32,
     has_failed_call: bool,
-    is_noted: bool,
+    is_failure_recorded: bool,
 }
 
-/// What is known of the server's failures.
+/// The failures and run times of the server.
 #[derive(Clone, Debug, Default)]
 pub struct ServerHealth {
+    /// The share of failed runs by the zone of the caller.
     failures: HashMap<String, LossEstimate>,
     runs: HashMap<InboundId, Run>,
-    /// How long runs for callers' requests and for nested calls take.
+    /// Estimated run times of callers' requests and of nested calls.
     run_times: [LatencyEstimate; 2],
+    /// Number of attempts that arrived while the server was failing.
     attempts: u32,
 }
 
 impl ServerHealth {
-    /// The server has started: what failed before says nothing of it, nor do runs that are
-    /// still under way.
+    /// Resets everything because the server has started: former failures and the runs that are
+    /// still in progress say nothing about the new instance.
     pub fn server_started(&mut self) {
         *self = ServerHealth::default();
     }
 
-    /// A run starts for a request whose caller is in `zone`.
+    /// Records that a run starts for a request whose caller is in `zone`.
     pub fn started(&mut self, now: Timestamp, run: InboundId, zone: &str, is_nested: bool) {
         let state = Run {
             zone: zone.to_owned(),
@@ -70,19 +72,19 @@
             started: now,
             calls_in_progress: 0,
             has_failed_call: false,
-            is_noted: false,
+            is_failure_recorded: false,
         };
         self.runs.insert(run, state);
     }
 
-    /// The run calls another service.
+    /// Records that the run calls another service.
     pub fn call_started(&mut self, run: InboundId) {
         if let Some(run) = self.runs.get_mut(&run) {
             run.calls_in_progress += 1;
         }
     }
 
-    /// A call of the run has ended.
+    /// Records that a call made by the run has ended.
     pub fn call_ended(&mut self, run: InboundId, has_failed: bool) {
         if let Some(run) = self.runs.get_mut(&run) {
             run.calls_in_progress = run.calls_in_progress.saturating_sub(1);
@@ -90,27 +92,28 @@
         }
     }
 
-    /// How long a run may take before it is overdue; none if that is not known.
+    /// Time after which a run is overdue; `None` while no run times are known.
     pub fn overdue_after(&self, is_nested: bool) -> Option<Duration> {
         let run_time = &self.run_times[usize::from(is_nested)];
         let limit = (run_time.high() * OVERDUE_FACTOR).max(MIN_OVERDUE);
         run_time.is_known().then_some(limit)
     }
 
-    /// A run has no answer although it is overdue.
+    /// Records that a run is overdue, which counts as a failure unless a call that it made is in
+    /// progress or has failed.
     pub fn overdue(&mut self, now: Timestamp, run: InboundId) {
         let Some(run) = self.runs.get_mut(&run) else {
             return;
         };
         let is_own = run.calls_in_progress == 0 && !run.has_failed_call;
-        if is_own && !run.is_noted {
-            run.is_noted = true;
+        if is_own && !run.is_failure_recorded {
+            run.is_failure_recorded = true;
             let zone = run.zone.clone();
             self.failures.entry(zone).or_default().observe(now, true);
         }
     }
 
-    /// A run has ended.
+    /// Records that a run has ended.
     pub fn ended(&mut self, now: Timestamp, run: InboundId, end: RunEnd) {
         let Some(run) = self.runs.remove(&run) else {
             return;
@@ -125,7 +128,7 @@
             RunEnd::Failed => true,
             RunEnd::Abandoned => return,
         };
-        if !run.is_noted {
+        if !run.is_failure_recorded {
             let failures = self.failures.entry(run.zone).or_default();
             failures.observe(now, is_failure);
         }
@@ -136,19 +139,21 @@
         self.failures.get(zone).map_or(0.0, |share| share.at(now))
     }
 
-    /// The zone whose requests the server fails most, if it turns any away.
+    /// The zone with the largest share of failed requests, and that share, if attempts are refused
+    /// for it.
     pub fn failing_zone(&self, now: Timestamp) -> Option<(&str, f64)> {
         let shares = self
             .failures
             .iter()
             .map(|(zone, share)| (zone.as_str(), share.at(now)));
         let worst = shares.max_by(|one, other| one.1.total_cmp(&other.1));
-        worst.filter(|(_, share)| *share >= TURN_AWAY_SHARE)
+        worst.filter(|(_, share)| *share >= REFUSAL_FAILURE_SHARE)
     }
 
-    /// Whether an attempt that can go to another server should do so.
-    pub fn turns_away(&mut self, now: Timestamp, zone: &str) -> bool {
-        if self.failure_share(now, zone) < TURN_AWAY_SHARE {
+    /// Whether an attempt from `zone` that can go to another server should be refused, so that it
+    /// does so.
+    pub fn should_refuse(&mut self, now: Timestamp, zone: &str) -> bool {
+        if self.failure_share(now, zone) < REFUSAL_FAILURE_SHARE {
             return false;
         }
         self.attempts = self.attempts.wrapping_add(1);
--- a/crates/coordination/src/mesh/server_selection/mod.rs
+++ b/crates/coordination/src/mesh/server_selection/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::latency::LatencyEstimate;
 use crate::mesh::reported_load::ReportedLoad;
-use crate::mesh::server_record::{ServerRecord, Standing};
+use crate::mesh::server_record::{Eligibility, ServerRecord};
 use crate::mesh::server_suitability::{Suitability, is_failing};
 use crate::mesh::server_wanted::Wanted;
 
@@ -97,7 +97,7 @@
             }
         }
         self.records.retain(|id, record| {
-            present.contains(id) || record.in_flight > 0 || record.has_notice(now)
+            present.contains(id) || record.in_flight > 0 || record.must_keep_notice(now)
         });
     }
 
@@ -106,7 +106,8 @@
         self.addresses.contains(&address)
     }
 
-    /// The server that should get the next attempt for `service`. A server that is set aside is taken only if no other is left.
+    /// The server that should get the next attempt for `service`. A server that is set aside is
+    /// taken only if no other is left.
     pub fn choose(
         &self,
         now: Timestamp,
@@ -122,17 +123,12 @@
         };
         let best = usable()
             .map(|record| {
-                let set_aside = record.standing(now) != Standing::Good;
+                let set_aside = record.eligibility(now) != Eligibility::Eligible;
                 let is_failing = wanted.purpose.must_succeed() && is_failing(now, record);
                 let jitter = random.random::<f64>() * JITTER;
                 let suits = Suitability::of(now, record, &self.own_zone, wanted.may_repeat);
                 let wait = record.time_until_next(now, wanted.may_repeat);
-                let ranks = (
-                    set_aside,
-                    is_failing,
-                    !wait.is_zero(),
-                    !suits.is_near_and_free,
-                );
+                let ranks = (set_aside, is_failing, !wait.is_zero(), !suits.is_preferred);
                 (ranks, suits.cost + wait.as_secs_f64() + jitter, record)
             })
             .min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)))?;
@@ -169,7 +165,7 @@
     pub fn sent(&mut self, now: Timestamp, id: &InstanceId) {
         if let Some(record) = self.records.get_mut(id) {
             record.in_flight += 1;
-            if let Some(pace) = &mut record.pace {
+            if let Some(pace) = &mut record.send_pace {
                 pace.sent(now);
             }
         }
@@ -194,14 +190,14 @@
         let Some(record) = self.records.get_mut(id) else {
             return;
         };
-        record.heard = now;
+        record.answered_at = now;
         record.losses.observe(now, false);
-        record.trust_again(now);
-        if let Some(pace) = &mut record.pace {
+        record.clear_suspicion(now);
+        if let Some(pace) = &mut record.send_pace {
             pace.served();
         }
         if let Some(load) = load {
-            record.note_report(now, load);
+            record.record_load_report(now, load);
         }
         if let Some((latency, is_nested)) = latency {
             record.latencies[usize::from(is_nested)].observe(now, latency);
@@ -211,28 +207,28 @@
     /// The server's node told its load without an answer of the server.
     pub fn reported(&mut self, now: Timestamp, id: &InstanceId, load: ReportedLoad) {
         if let Some(record) = self.records.get_mut(id) {
-            record.note_report(now, load);
+            record.record_load_report(now, load);
         }
     }
 
     /// The server says this of itself.
     pub fn noticed(&mut self, now: Timestamp, id: &InstanceId, notice: ServerNotice) {
         if let Some(record) = self.records.get_mut(id) {
-            record.note(now, notice);
+            record.record_notice(now, notice);
         }
     }
 
     /// The server's node turned an attempt away: the server gets as many as it takes.
     pub fn rate_limited(&mut self, now: Timestamp, id: &InstanceId) {
         let record = self.records.get_mut(id);
-        if let Some(pace) = record.and_then(|record| record.pace.as_mut()) {
+        if let Some(pace) = record.and_then(|record| record.send_pace.as_mut()) {
             pace.turned_away(now);
         }
     }
 
     /// The limit that the server names, if it does.
     pub fn limit_of(&self, id: &InstanceId) -> Option<RequestRate> {
-        let pace = self.records.get(id)?.pace.as_ref()?;
+        let pace = self.records.get(id)?.send_pace.as_ref()?;
         Some(pace.limit())
     }
 
@@ -247,8 +243,8 @@
     /// was in good standing: it is to be probed from now on.
     pub fn set_aside(&mut self, now: Timestamp, id: &InstanceId) -> bool {
         match self.records.get_mut(id) {
-            Some(record) if record.standing(now) == Standing::Good => {
-                record.set_standing(Standing::Suspect { failed_probes: 0 });
+            Some(record) if record.eligibility(now) == Eligibility::Eligible => {
+                record.set_eligibility(Eligibility::Suspect { failed_probes: 0 });
                 true
             }
             _ => false,
@@ -269,14 +265,14 @@
 
     fn set_withdrawn(&mut self, id: &InstanceId, until: Option<Timestamp>) {
         if let Some(record) = self.records.get_mut(id) {
-            record.set_standing(Standing::Withdrawn { until });
+            record.set_eligibility(Eligibility::Withdrawn { until });
         }
     }
 
     /// When the server should be probed next; none if it need not be.
     pub fn probe_delay(&self, now: Timestamp, id: &InstanceId) -> Option<Duration> {
         let record = self.records.get(id)?;
-        let Standing::Suspect { failed_probes } = record.standing(now) else {
+        let Eligibility::Suspect { failed_probes } = record.eligibility(now) else {
             return None;
         };
         let doublings = failed_probes.min(8);
@@ -290,10 +286,10 @@
             return;
         };
         if answered {
-            record.trust_again(now);
-        } else if let Standing::Suspect { failed_probes } = record.standing(now) {
+            record.clear_suspicion(now);
+        } else if let Eligibility::Suspect { failed_probes } = record.eligibility(now) {
             let failed_probes = failed_probes + 1;
-            record.set_standing(Standing::Suspect { failed_probes });
+            record.set_eligibility(Eligibility::Suspect { failed_probes });
         }
     }
 
@@ -310,7 +306,7 @@
         let Some(record) = self.records.get(id) else {
             return true;
         };
-        record.heard < sent && now.saturating_since(sent) >= self.silence(id, is_nested)
+        record.answered_at < sent && now.saturating_since(sent) >= self.silence(id, is_nested)
     }
 
     /// How long a server may stay silent before a request or a nested call is
@@ -328,7 +324,7 @@
 
 /// Whether a server has room and answers what it is given.
 fn is_sound(now: Timestamp, record: &ServerRecord) -> bool {
-    record.standing(now) == Standing::Good
+    record.eligibility(now) == Eligibility::Eligible
         && record.losses(now) < LOSSY_SHARE
         && record.utilization(now) < 1.0
 }
--- a/crates/coordination/src/mesh/server_selection/service_levels.rs
+++ b/crates/coordination/src/mesh/server_selection/service_levels.rs
@@ -6,7 +6,7 @@
 use lifthollow_state::Timestamp;
 
 use super::ServerPool;
-use crate::mesh::server_record::{ServerRecord, Standing};
+use crate::mesh::server_record::{Eligibility, ServerRecord};
 use crate::mesh::server_suitability::is_failing;
 use crate::mesh::server_wanted::Purpose;
 
@@ -41,7 +41,7 @@
         let ids = self.by_service.get(service).into_iter().flatten();
         let mut records: Vec<&ServerRecord> = ids
             .filter_map(|id| self.records.get(id))
-            .filter(|record| record.standing(now) == Standing::Good)
+            .filter(|record| record.eligibility(now) == Eligibility::Eligible)
             .collect();
         // One that gets as many requests as it takes tells nothing of the room that others have.
         let may_get_more = |record: &&ServerRecord| record.time_until_next(now, true).is_zero();
@@ -77,7 +77,8 @@
             .iter()
             .map(|record| record.levels[usize::from(purpose.is_nested())].1);
         let last = reports.max().unwrap_or_default();
-        let is_set_aside = |record: &&&ServerRecord| record.standing(now) != Standing::Good;
+        let is_set_aside =
+            |record: &&&ServerRecord| record.eligibility(now) != Eligibility::Eligible;
         KnownLoad {
             level: self.admission_level(now, service, purpose),
             age: now.saturating_since(last),
--- a/crates/coordination/src/mesh/server_wanted.rs
+++ b/crates/coordination/src/mesh/server_wanted.rs
@@ -1,13 +1,13 @@
-//! What an attempt needs of a server.
+//! The requirements of an attempt on the server that it is sent to.
 
 use lifthollow_state::mesh::InstanceId;
 
 /// The servers of a service that an attempt may go to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Candidates {
-    /// All but these.
+    /// All servers of the service except these.
     AllBut(Vec<InstanceId>),
-    /// None but these.
+    /// Only these servers.
     Only(Vec<InstanceId>),
 }
 
@@ -15,12 +15,13 @@
     /// All servers of the service.
     pub const ALL: Candidates = Candidates::AllBut(Vec::new());
 
-    /// The one server, if it is among them.
+    /// Narrows the candidates to `server`; `None` if it is not one of them.
     pub fn only(self, server: &InstanceId) -> Option<Candidates> {
         let is_included = self.include(server);
         is_included.then(|| Candidates::Only(vec![server.clone()]))
     }
 
+    /// Whether `server` is one of the candidates.
     pub(super) fn include(&self, server: &InstanceId) -> bool {
         match self {
             Candidates::AllBut(excluded) => !excluded.contains(server),
@@ -29,25 +30,25 @@
     }
 }
 
-/// What an attempt needs of a server.
+/// The requirements of an attempt on the server that it is sent to.
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted<'a> {
-    /// Servers that it may go to.
+    /// The servers that the attempt may go to.
     pub candidates: &'a Candidates,
-    /// Whether it can be asked for again if the answer is lost.
+    /// Whether the request can be retried if the answer is lost.
     pub may_repeat: bool,
-    /// For whom it is made.
+    /// Whether the attempt is a caller's request or a nested call.
     pub purpose: Purpose,
 }
 
-/// For whom an attempt is made.
+/// The kind of request that an attempt is made for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// For a caller.
+    /// The request of a caller.
     Request,
-    /// For a run on another server, which fails if any of its calls does.
+    /// A call made by a run on another server, which fails if any of its calls fails.
     NestedCall {
-        /// Whether a repeat could be paid for if the attempt failed.
+        /// Whether the retry budget would allow a retry if the attempt failed.
         can_be_repeated: bool,
     },
 }
@@ -57,7 +58,7 @@
         matches!(self, Purpose::NestedCall { .. })
     }
 
-    /// Whether the work that was done for the request is lost with the attempt.
+    /// Whether the work already done for the request is lost if the attempt fails.
     pub(super) fn must_succeed(self) -> bool {
         matches!(
             self,
--- a/crates/coordination/tests/mesh_admission.rs
+++ b/crates/coordination/tests/mesh_admission.rs
@@ -1,4 +1,4 @@
-//! Admission to one server, and the trees that requests form.
+//! Tests of the admission of attempts to one server and of the priorities of request trees.
 
 mod mesh_support;
 
@@ -15,6 +15,7 @@
 
 const LIMIT: u32 = 4;
 
+/// Reports that every service admits all levels.
 fn open(_: &ServiceName) -> AdmissionLevel {
     AdmissionLevel::OPEN
 }
@@ -43,8 +44,8 @@
     }
 }
 
-/// A server whose slots are taken.
-fn full(now: Timestamp) -> ServerAdmission {
+/// The admission of a server whose slots are all taken.
+fn full_server(now: Timestamp) -> ServerAdmission {
     let mut admission = ServerAdmission::new("feeds", LIMIT);
     for run in 0..LIMIT {
         let verdict = admission.arrive(now, &sheddable(&run.to_string(), 0), open);
@@ -53,12 +54,13 @@
     admission
 }
 
-fn started_next(admission: &mut ServerAdmission, now: Timestamp) -> Vec<u64> {
+/// Releases one slot and returns the ticket numbers of the attempts that run then.
+fn release_slot_and_start_next(admission: &mut ServerAdmission, now: Timestamp) -> Vec<u64> {
     let tickets = admission.give_back(now);
     tickets.into_iter().map(|ticket| ticket.0).collect()
 }
 
-/// A request of a route with this rank, without a tenant.
+/// The rank of a request whose route has this rank and that has no tenant.
 fn route_rank(route: u8) -> RequestRank {
     RequestRank {
         route,
@@ -67,8 +69,8 @@
 }
 
 #[test]
-fn the_server_never_has_more_than_it_works_on() {
-    let mut admission = full(at(0));
+fn concurrent_runs_never_exceed_the_limit() {
+    let mut admission = full_server(at(0));
     let verdict = admission.arrive(at(0), &sheddable("more", 0), open);
     assert!(matches!(verdict, Verdict::Wait(_)));
     assert_eq!(admission.occupancy().running, LIMIT);
@@ -76,34 +78,34 @@
 
 #[test]
 fn more_important_requests_start_first() {
-    let mut admission = full(at(0));
+    let mut admission = full_server(at(0));
     admission.arrive(at(0), &sheddable("low", 3), open);
     admission.arrive(at(0), &attempt("high", PriorityClass::Critical, 0), open);
     admission.arrive(at(0), &sheddable("middle", 90), open);
-    assert_eq!(started_next(&mut admission, at(1)), [1]);
-    assert_eq!(started_next(&mut admission, at(1)), [2]);
-    assert_eq!(started_next(&mut admission, at(1)), [0]);
+    assert_eq!(release_slot_and_start_next(&mut admission, at(1)), [1]);
+    assert_eq!(release_slot_and_start_next(&mut admission, at(1)), [2]);
+    assert_eq!(release_slot_and_start_next(&mut admission, at(1)), [0]);
 }
 
 #[test]
 fn nested_calls_go_before_callers_requests_of_their_class() {
-    let mut admission = full(at(0));
+    let mut admission = full_server(at(0));
     admission.arrive(at(0), &sheddable("page", 60), open);
     admission.arrive(at(0), &nested("call", 5), open);
-    assert_eq!(started_next(&mut admission, at(1)), [1]);
+    assert_eq!(release_slot_and_start_next(&mut admission, at(1)), [1]);
 }
 
 #[test]
 fn important_request_goes_before_nested_calls_of_a_lower_class() {
-    let mut admission = full(at(0));
+    let mut admission = full_server(at(0));
     admission.arrive(at(0), &nested("call", 127), open);
     admission.arrive(at(0), &attempt("charge", PriorityClass::Critical, 0), open);
-    assert_eq!(started_next(&mut admission, at(1)), [1]);
+    assert_eq!(release_slot_and_start_next(&mut admission, at(1)), [1]);
 }
 
 #[test]
 fn request_that_would_wait_too_long_is_refused_at_once() {
-    let mut admission = full(at(0));
+    let mut admission = full_server(at(0));
     let mut hasty = sheddable("hasty", 0);
     hasty.patience = ms(1);
     let verdict = admission.arrive(at(0), &hasty, open);
@@ -115,26 +117,23 @@
         panic!("{verdict:?}");
     };
     assert_eq!(reason, NotRunReason::QueueFull);
-    assert!(
-        retry_after.is_some(),
-        "the caller is told when to come back"
-    );
+    assert!(retry_after.is_some(), "the refusal has no retry delay");
 }
 
 #[test]
-fn withdrawn_request_frees_its_place() {
-    let mut admission = full(at(0));
+fn withdrawn_request_does_not_run_later() {
+    let mut admission = full_server(at(0));
     let waiting = sheddable("waiting", 0);
     let Verdict::Wait(ticket) = admission.arrive(at(0), &waiting, open) else {
-        panic!("it runs");
+        panic!("the attempt runs although all slots are taken");
     };
     assert!(admission.withdraw(&waiting, ticket, true));
-    assert!(started_next(&mut admission, at(1)).is_empty());
+    assert!(release_slot_and_start_next(&mut admission, at(1)).is_empty());
     assert!(!admission.withdraw(&waiting, ticket, true));
 }
 
 #[test]
-fn silent_server_gets_one_trial_at_a_time() {
+fn unresponsive_server_gets_one_trial_request_at_a_time() {
     let mut admission = ServerAdmission::new("feeds", LIMIT);
     assert_eq!(
         admission.arrive(at(0), &sheddable("first", 0), open),
@@ -157,7 +156,7 @@
     assert!(!admission.is_silent(at(1300)));
 }
 
-/// Overloads the server with trees of all priorities for two seconds.
+/// Overloads the server with nested calls of all user priorities for two seconds.
 fn overload(admission: &mut ServerAdmission, arrivals_per_run: u32) {
     let mut now = at(0);
     for round in 0..400_u32 {
@@ -178,7 +177,7 @@
 
 #[test]
 fn overload_raises_the_level_of_callers_requests_before_that_of_nested_calls() {
-    let mut admission = full(at(0));
+    let mut admission = full_server(at(0));
     overload(&mut admission, 2);
     let of_callers = admission.level(false, open);
     let of_nested = admission.level(true, open);
@@ -186,12 +185,12 @@
     assert!(of_nested < of_callers, "{of_nested:?} {of_callers:?}");
     assert!(
         of_callers < AdmissionLevel(256),
-        "critical requests are admitted"
+        "critical requests must be admitted"
     );
 }
 
 #[test]
-fn what_a_needed_service_refuses_is_refused_before_work_is_done() {
+fn requests_that_a_needed_service_would_refuse_are_refused_before_they_run() {
     let mut admission = ServerAdmission::new("feeds", LIMIT);
     for number in 0..30 {
         let request = sheddable(&number.to_string(), 0);
@@ -216,7 +215,11 @@
     let high = admission.arrive(at(100), &sheddable("high", 120), closed_to_most);
     assert_eq!(high, Verdict::Run);
     let begun = admission.arrive(at(100), &nested("begun", 50), closed_to_most);
-    assert_eq!(begun, Verdict::Run, "trees that were admitted go on");
+    assert_eq!(
+        begun,
+        Verdict::Run,
+        "nested calls of admitted trees must run"
+    );
     assert_eq!(admission.level(false, closed_to_most), AdmissionLevel(100));
 }
 
@@ -229,13 +232,17 @@
 }
 
 #[test]
-fn nested_call_takes_over_the_priority_of_its_run() {
+fn nested_call_inherits_the_properties_of_the_run_that_makes_it() {
     let mut running = RunningRequests::default();
     running.started("aa", at(1000), parent(1, false));
     running.started("bb", at(2000), parent(2, true));
-    let by_identity = running.parent_of("bb.cc", at(1000)).expect("by identity");
-    assert!(by_identity.is_repeat);
-    let by_deadline = running.parent_of("zz", at(1001)).expect("by deadline");
+    let by_request_id = running
+        .parent_of("bb.cc", at(1000))
+        .expect("no run with the ID prefix found");
+    assert!(by_request_id.is_repeat);
+    let by_deadline = running
+        .parent_of("zz", at(1001))
+        .expect("no run with the deadline found");
     assert_eq!(by_deadline.run, InboundId(1));
     assert_eq!(running.parent_of("zz", at(1500)), None);
     running.ended("bb", InboundId(2));
@@ -243,7 +250,7 @@
 }
 
 #[test]
-fn end_of_a_former_run_does_not_end_its_repeat() {
+fn end_of_a_former_run_does_not_remove_its_retry() {
     let mut running = RunningRequests::default();
     running.started("aa", at(1000), parent(1, false));
     running.started("aa", at(1000), parent(2, true));
@@ -266,7 +273,7 @@
 }
 
 #[test]
-fn failing_server_turns_away_only_what_can_go_elsewhere() {
+fn failing_server_refuses_only_attempts_that_can_go_to_another_server() {
     let mut admission = ServerAdmission::new("feeds", LIMIT);
     for number in 0..10 {
         let request = sheddable(&number.to_string(), 0);
@@ -328,8 +335,8 @@
     assert_eq!(admission.level(false, closed), AdmissionLevel::OPEN);
 }
 
-/// A server whose runs for callers all call `ledger`.
-fn needing_ledger() -> ServerAdmission {
+/// The admission of a server whose runs for callers all call the service `ledger`.
+fn server_needing_ledger() -> ServerAdmission {
     let mut admission = ServerAdmission::new("feeds", LIMIT);
     for number in 0..40 {
         let request = sheddable(&number.to_string(), 0);
@@ -339,6 +346,7 @@
     admission
 }
 
+/// Runs `request` to a successful end, with a call to the service `called` if there is one.
 fn run_calling(admission: &mut ServerAdmission, request: &ArrivingAttempt, called: Option<&str>) {
     let run = admission.started(at(0), request);
     if let Some(service) = called {
@@ -351,7 +359,7 @@
 
 #[test]
 fn requests_are_refused_at_once_while_a_service_that_they_need_has_no_server() {
-    let mut admission = needing_ledger();
+    let mut admission = server_needing_ledger();
     let no_server = |_: &ServiceName| AdmissionLevel::CLOSED;
     let arrive = |admission: &mut ServerAdmission, milliseconds: u64| {
         let request = sheddable("later", 127);
@@ -360,7 +368,7 @@
     };
     assert!(
         arrive(&mut admission, 1000),
-        "one tries whether it is needed"
+        "one trial request must run to find out whether the service is still needed"
     );
     assert!((1001..1250).all(|at| !arrive(&mut admission, at)));
     assert!(arrive(&mut admission, 1300));
@@ -369,12 +377,15 @@
         class: PriorityClass::Sheddable,
         user: 127,
     };
-    assert!(!level.admits(most_important), "callers' nodes are told");
+    assert!(
+        !level.admits(most_important),
+        "the level for callers' nodes must refuse the highest user priority"
+    );
 }
 
 #[test]
 fn a_service_that_is_no_longer_called_is_no_longer_needed() {
-    let mut admission = needing_ledger();
+    let mut admission = server_needing_ledger();
     let no_server = |_: &ServiceName| AdmissionLevel::CLOSED;
     let trials = (0..100).filter(|number| {
         let now = at(1000 + number * 300);
--- a/crates/coordination/tests/mesh_attempts.rs
+++ b/crates/coordination/tests/mesh_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of a request, choice of servers and the budget for repeats.
+//! Tests of the attempts of a request, the choice of servers, and admission levels of services.
 
 mod mesh_support;
 
@@ -24,25 +24,26 @@
     }
 }
 
+/// The end of an attempt whose answer was lost.
 fn lost() -> AttemptEnd {
     AttemptEnd::Unknown {
         reason: UnknownReason::AnswerLost,
     }
 }
 
-/// No other attempt of the request is on its way.
-const ALONE: bool = false;
+/// Value for `is_other_in_progress`: no other attempt of the request is in progress.
+const NO_OTHER: bool = false;
 
 #[test]
 fn request_that_may_have_run_is_sent_again_only_if_it_may_be_repeated() {
     let mut once = route("once", "/");
     once.kind = RequestKind::NonIdempotent;
     let mut call = Call::new(at(0), &once, None);
-    let next = call.attempt_ended(&id("i-1"), &lost(), ALONE, || true);
+    let next = call.attempt_ended(&id("i-1"), &lost(), NO_OTHER, || true);
     assert_eq!(next, NextStep::Finish(FinalAnswer::Unknown));
 
     let mut call = Call::new(at(0), &route("any", "/"), None);
-    let next = call.attempt_ended(&id("i-1"), &lost(), ALONE, || true);
+    let next = call.attempt_ended(&id("i-1"), &lost(), NO_OTHER, || true);
     assert_eq!(next, NextStep::Attempt);
     let others = Candidates::AllBut(vec![id("i-1")]);
     assert_eq!(call.candidates().next(), Some(others));
@@ -54,7 +55,7 @@
     once.kind = RequestKind::NonIdempotent;
     let mut call = Call::new(at(0), &once, None);
     let refused = not_run(false, NotRunReason::QueueFull);
-    let next = call.attempt_ended(&id("i-1"), &refused, ALONE, || panic!("it is no repeat"));
+    let next = call.attempt_ended(&id("i-1"), &refused, NO_OTHER, || panic!("not a retry"));
     assert_eq!(next, NextStep::Attempt);
 }
 
@@ -63,8 +64,11 @@
     let mut call = Call::new(at(0), &route("any", "/"), None);
     assert!(call.is_new());
     let refused = not_run(false, NotRunReason::QueueFull);
-    call.attempt_ended(&id("i-1"), &refused, ALONE, || panic!("it is no repeat"));
-    assert!(!call.is_new(), "it earns no second right to a repeat");
+    call.attempt_ended(&id("i-1"), &refused, NO_OTHER, || panic!("not a retry"));
+    assert!(
+        !call.is_new(),
+        "a second attempt must not count as a new request in the retry budget"
+    );
     assert!(!call.is_repeat());
 }
 
@@ -73,20 +77,20 @@
     let mut call = Call::new(at(0), &route("two", "/"), None);
     let refused = not_run(true, NotRunReason::ServerRefused);
     assert_eq!(
-        call.attempt_ended(&id("i-1"), &refused, ALONE, || true),
+        call.attempt_ended(&id("i-1"), &refused, NO_OTHER, || true),
         NextStep::Attempt
     );
     assert_eq!(
-        call.attempt_ended(&id("i-2"), &refused, ALONE, || true),
+        call.attempt_ended(&id("i-2"), &refused, NO_OTHER, || true),
         NextStep::Attempt
     );
     let same_servers = Candidates::Only(vec![id("i-1"), id("i-2")]);
     assert_eq!(call.candidates().collect::<Vec<_>>(), [same_servers]);
 
     let mut call = Call::new(at(0), &route("two", "/"), None);
-    call.attempt_ended(&id("i-1"), &lost(), ALONE, || true);
-    let next = call.attempt_ended(&id("i-2"), &lost(), ALONE, || {
-        panic!("it would not be sent")
+    call.attempt_ended(&id("i-1"), &lost(), NO_OTHER, || true);
+    let next = call.attempt_ended(&id("i-2"), &lost(), NO_OTHER, || {
+        panic!("retry is not allowed")
     });
     assert_eq!(next, NextStep::Finish(FinalAnswer::Unknown));
 }
@@ -95,14 +99,14 @@
 fn a_server_that_refused_is_asked_again_after_the_others_and_a_pause() {
     let mut call = Call::new(at(0), &route("two", "/"), None);
     let refused = not_run(true, NotRunReason::ServerRefused);
-    call.attempt_ended(&id("i-1"), &refused, ALONE, || true);
+    call.attempt_ended(&id("i-1"), &refused, NO_OTHER, || true);
     let candidates: Vec<Candidates> = call.candidates().collect();
     let another = Candidates::AllBut(vec![id("i-1")]);
     assert_eq!(candidates, [another, Candidates::Only(vec![id("i-1")])]);
     assert_eq!(call.pause_before(&id("i-2")), ms(0));
     let first_pause = call.pause_before(&id("i-1"));
     assert!(first_pause > ms(0));
-    call.attempt_ended(&id("i-1"), &refused, ALONE, || true);
+    call.attempt_ended(&id("i-1"), &refused, NO_OTHER, || true);
     assert!(call.pause_before(&id("i-1")) > first_pause);
 }
 
@@ -114,21 +118,21 @@
         reason: NotRunReason::ServerRefused,
         retry_after: Some(ms(500)),
     };
-    call.attempt_ended(&id("i-1"), &not_now, ALONE, || true);
+    call.attempt_ended(&id("i-1"), &not_now, NO_OTHER, || true);
     let refused = not_run(true, NotRunReason::ServerRefused);
-    call.attempt_ended(&id("i-2"), &refused, ALONE, || true);
-    call.attempt_ended(&id("i-2"), &lost(), ALONE, || true);
+    call.attempt_ended(&id("i-2"), &refused, NO_OTHER, || true);
+    call.attempt_ended(&id("i-2"), &lost(), NO_OTHER, || true);
     let nobody = Candidates::Only(Vec::new());
     assert_eq!(call.candidates().collect::<Vec<_>>(), [nobody]);
 }
 
 #[test]
-fn a_caller_is_told_after_some_refusals() {
+fn refused_attempts_of_a_request_are_limited() {
     let mut call = Call::new(at(0), &route("two", "/"), None);
     let refused = not_run(true, NotRunReason::ServerRefused);
     let refusals = (0..100)
         .take_while(|_| {
-            let next = call.attempt_ended(&id("i-1"), &refused, ALONE, || true);
+            let next = call.attempt_ended(&id("i-1"), &refused, NO_OTHER, || true);
             next == NextStep::Attempt
         })
         .count();
@@ -136,18 +140,18 @@
 }
 
 #[test]
-fn without_budget_there_is_no_repeat() {
+fn exhausted_retry_budget_prevents_a_retry() {
     let mut call = Call::new(at(0), &route("any", "/"), None);
-    let next = call.attempt_ended(&id("i-1"), &lost(), ALONE, || false);
+    let next = call.attempt_ended(&id("i-1"), &lost(), NO_OTHER, || false);
     assert_eq!(next, NextStep::Finish(FinalAnswer::Unknown));
 }
 
 #[test]
-fn not_run_is_never_said_of_a_request_that_may_have_run() {
+fn request_that_may_have_run_is_never_answered_as_refused() {
     let mut call = Call::new(at(0), &route("any", "/"), None);
-    call.attempt_ended(&id("i-1"), &lost(), ALONE, || true);
+    call.attempt_ended(&id("i-1"), &lost(), NO_OTHER, || true);
     let refused = not_run(false, NotRunReason::QueueFull);
-    call.attempt_ended(&id("i-2"), &refused, ALONE, || true);
+    call.attempt_ended(&id("i-2"), &refused, NO_OTHER, || true);
     assert_eq!(call.give_up(), FinalAnswer::Unknown);
     assert_eq!(call.timed_out(false), FinalAnswer::TimedOut);
 }
@@ -161,10 +165,10 @@
 }
 
 #[test]
-fn overload_further_down_is_not_asked_for_at_every_server() {
+fn downstream_overload_is_not_retried_at_other_servers() {
     let mut call = Call::new(at(0), &route("any", "/"), None);
     let refused = not_run(false, NotRunReason::DownstreamOverloaded);
-    let next = call.attempt_ended(&id("i-1"), &refused, ALONE, || true);
+    let next = call.attempt_ended(&id("i-1"), &refused, NO_OTHER, || true);
     let NextStep::Finish(FinalAnswer::Refused { reason, .. }) = next else {
         panic!("{next:?}");
     };
@@ -181,10 +185,10 @@
 }
 
 #[test]
-fn no_repeat_is_paid_for_while_another_attempt_is_on_its_way() {
+fn no_retry_is_taken_from_the_budget_while_another_attempt_is_in_progress() {
     let mut call = Call::new(at(0), &route("any", "/"), None);
     call.hedge(&id("i-1"));
-    let next = call.attempt_ended(&id("i-2"), &lost(), true, || panic!("it would not be sent"));
+    let next = call.attempt_ended(&id("i-2"), &lost(), true, || panic!("retry is not allowed"));
     assert_eq!(next, NextStep::Wait);
 }
 
@@ -194,6 +198,7 @@
     purpose: Purpose::Request,
 };
 
+/// A pool seen from zone `a`, with one server in each of the zones `a`, `b` and `c`.
 fn pool() -> ServerPool {
     let mut pool = ServerPool::new("a");
     let servers = [
@@ -205,6 +210,7 @@
     pool
 }
 
+/// The ID of the server that is chosen at `now`, in milliseconds.
 fn chosen(pool: &ServerPool, now: u64) -> String {
     let server = pool.choose(at(now), "feeds", ANY, &mut random());
     server
@@ -222,7 +228,11 @@
     for _ in 0..6 {
         pool.sent(at(0), &id("i-a"));
     }
-    assert_eq!(chosen(&pool, 0), "i-a", "nobody has to wait there");
+    assert_eq!(
+        chosen(&pool, 0),
+        "i-a",
+        "the server in the own zone still has spare slots"
+    );
     for _ in 0..2 {
         pool.sent(at(0), &id("i-a"));
     }
@@ -248,7 +258,7 @@
 }
 
 #[test]
-fn draining_server_gets_nothing() {
+fn draining_server_gets_no_attempts() {
     let mut pool = ServerPool::new("a");
     let mut draining = server("i-a", "a", 1);
     draining.state = lifthollow_state::mesh::ServerState::Draining;
@@ -257,23 +267,30 @@
 }
 
 #[test]
-fn server_set_aside_comes_back_only_by_a_probe() {
+fn suspect_server_is_used_again_only_after_a_successful_probe() {
     let mut pool = pool();
     assert!(pool.set_aside(at(0), &id("i-a")));
-    assert!(!pool.set_aside(at(0), &id("i-a")), "it is probed already");
+    assert!(
+        !pool.set_aside(at(0), &id("i-a")),
+        "the server is already being probed"
+    );
     assert_ne!(chosen(&pool, 60_000), "i-a");
     let first = pool
         .probe_delay(at(0), &id("i-a"))
-        .expect("it is to be probed");
+        .expect("the server is not probed");
     pool.probed(at(0), &id("i-a"), false);
-    assert!(pool.probe_delay(at(0), &id("i-a")).expect("still") > first);
+    assert!(
+        pool.probe_delay(at(0), &id("i-a"))
+            .expect("the server is no longer probed")
+            > first
+    );
     pool.probed(at(0), &id("i-a"), true);
     assert_eq!(pool.probe_delay(at(0), &id("i-a")), None);
     assert_eq!(chosen(&pool, 60_000), "i-a");
 }
 
 #[test]
-fn server_set_aside_is_used_if_no_other_is_left() {
+fn suspect_server_is_used_if_no_other_is_left() {
     let mut pool = ServerPool::new("a");
     pool.set_servers(at(0), [server("i-a", "a", 1)]);
     pool.set_aside(at(0), &id("i-a"));
@@ -281,7 +298,7 @@
 }
 
 #[test]
-fn withdrawn_server_gets_nothing_until_it_announces_something_else() {
+fn withdrawn_server_gets_no_attempts_until_its_entry_changes() {
     let mut pool = ServerPool::new("a");
     pool.set_servers(at(0), [server("i-a", "a", 1)]);
     pool.withdraw(&id("i-a"));
@@ -306,11 +323,15 @@
     for _ in 0..8 {
         pool.sent(at(0), &id("i-b"));
     }
-    assert_eq!(chosen(&pool, 2000), "i-a", "as good as any other");
+    assert_eq!(
+        chosen(&pool, 2000),
+        "i-a",
+        "the server must rank as high as any other"
+    );
 }
 
 #[test]
-fn silence_is_counted_only_while_nothing_is_answered() {
+fn server_that_answers_is_not_considered_unresponsive() {
     let mut pool = pool();
     assert!(!pool.is_silent(at(100), &id("i-a"), at(1), false));
     assert!(pool.is_silent(at(5000), &id("i-a"), at(1), false));
@@ -319,7 +340,7 @@
 }
 
 #[test]
-fn server_that_loses_answers_is_passed_by_while_others_have_room() {
+fn server_that_loses_answers_is_avoided_while_others_have_free_slots() {
     let mut pool = pool();
     for number in 0..10 {
         pool.lost(at(number), &id("i-a"));
@@ -330,11 +351,15 @@
             pool.sent(at(0), &id(other));
         }
     }
-    assert_eq!(chosen(&pool, 10), "i-a", "it is better than a full one");
+    assert_eq!(
+        chosen(&pool, 10),
+        "i-a",
+        "a server that loses answers is better than a full one"
+    );
 }
 
 #[test]
-fn few_losses_count_only_for_requests_that_can_not_be_repeated() {
+fn few_losses_count_only_for_requests_that_can_not_be_retried() {
     let mut pool = pool();
     pool.lost(at(0), &id("i-a"));
     pool.heard(at(0), &id("i-a"), None, None);
@@ -345,9 +370,10 @@
     };
     let server = pool.choose(at(0), "feeds", once, &mut random());
     assert_ne!(server.expect("there are others").server.id, id("i-a"));
-    assert_eq!(chosen(&pool, 10_000), "i-a", "they are forgotten");
+    assert_eq!(chosen(&pool, 10_000), "i-a", "old losses must decay");
 }
 
+/// A load report with this admission level for callers' requests, and no failures.
 fn reported(level: u16) -> ReportedLoad {
     ReportedLoad {
         occupancy: Occupancy::default(),
@@ -358,7 +384,7 @@
 }
 
 #[test]
-fn level_of_a_service_is_that_of_the_servers_heard_of_lately() {
+fn level_of_a_service_comes_only_from_recent_reports() {
     let mut pool = pool();
     let level = |pool: &ServerPool, now| pool.admission_level(at(now), "feeds", Purpose::Request).0;
     assert_eq!(level(&pool, 1000), 0);
@@ -366,15 +392,15 @@
     assert_eq!(
         level(&pool, 1100),
         100,
-        "servers never heard of don't count"
+        "servers that have not reported must not count"
     );
     pool.reported(at(1050), &id("i-b"), reported(40));
     assert_eq!(level(&pool, 1100), 40);
-    assert!(level(&pool, 3000) < 5, "an old level opens by itself");
+    assert!(level(&pool, 3000) < 5, "an old level must decay");
 }
 
 #[test]
-fn failures_that_a_servers_node_reports_count_like_own_losses() {
+fn failures_that_a_servers_node_reports_count_like_lost_answers() {
     let mut pool = pool();
     let failing = ReportedLoad {
         failure_share: 0.4,
@@ -383,21 +409,21 @@
     pool.heard(at(10), &id("i-a"), Some(failing), None);
     assert!(pool.loses_answers(at(10), &id("i-a")));
     assert_ne!(chosen(&pool, 10), "i-a");
-    assert_eq!(chosen(&pool, 20_000), "i-a", "they are forgotten");
+    assert_eq!(chosen(&pool, 20_000), "i-a", "old losses must decay");
 }
 
-/// A nested call, for which there is no budget if it fails.
-const LAST_TRY: Purpose = Purpose::NestedCall {
+/// A nested call that the retry budget would not allow to retry.
+const NOT_RETRYABLE_CALL: Purpose = Purpose::NestedCall {
     can_be_repeated: false,
 };
-const NESTED: Wanted<'static> = Wanted {
-    purpose: LAST_TRY,
+const NOT_RETRYABLE: Wanted<'static> = Wanted {
+    purpose: NOT_RETRYABLE_CALL,
     ..ANY
 };
 
-/// A pool in which i-a and i-b refuse half of what they are given, and i-c is
-/// three times as busy as it can be.
-fn pool_with_one_sound_server() -> ServerPool {
+/// A pool in which i-a and i-b fail half of their requests, and i-c has three times as many
+/// requests as it has slots.
+fn pool_with_one_healthy_server() -> ServerPool {
     let mut pool = pool();
     for failing in ["i-a", "i-b"] {
         let load = ReportedLoad {
@@ -414,12 +440,16 @@
 }
 
 #[test]
-fn nested_calls_wait_for_a_sound_server_rather_than_fail_at_another() {
-    let pool = pool_with_one_sound_server();
+fn nested_calls_wait_for_a_healthy_server_rather_than_go_to_a_failing_one() {
+    let pool = pool_with_one_healthy_server();
     let choose = |wanted| pool.choose(at(10), "feeds", wanted, &mut random());
-    let server = choose(NESTED).expect("there are servers").server;
+    let server = choose(NOT_RETRYABLE).expect("there are servers").server;
     assert_eq!(server.id, id("i-c"));
-    assert_ne!(chosen(&pool, 10), "i-c", "one try is worth more than none");
+    assert_ne!(
+        chosen(&pool, 10),
+        "i-c",
+        "a caller's request must go to a server with free slots"
+    );
     let repeatable = Wanted {
         purpose: Purpose::NestedCall {
             can_be_repeated: true,
@@ -427,31 +457,38 @@
         ..ANY
     };
     let server = choose(repeatable).expect("there are servers").server;
-    assert_ne!(server.id, id("i-c"), "it can be tried again");
+    assert_ne!(
+        server.id,
+        id("i-c"),
+        "a call that can be retried must go to a server with free slots"
+    );
     let others = Candidates::AllBut(vec![id("i-c")]);
     let without = Wanted {
         candidates: &others,
-        ..NESTED
+        ..NOT_RETRYABLE
     };
-    assert!(choose(without).is_some(), "if there is no other");
+    assert!(
+        choose(without).is_some(),
+        "a failing server must be chosen if there is no other"
+    );
 }
 
 #[test]
-fn room_at_failing_servers_does_not_open_the_level_of_nested_calls() {
-    let mut pool = pool_with_one_sound_server();
+fn free_slots_at_failing_servers_do_not_lower_the_level_of_nested_calls() {
+    let mut pool = pool_with_one_healthy_server();
     let load = ReportedLoad {
         is_nested: true,
         ..reported(90)
     };
     pool.reported(at(10), &id("i-c"), load);
-    let level = |pool: &ServerPool| pool.admission_level(at(10), "feeds", LAST_TRY).0;
+    let level = |pool: &ServerPool| pool.admission_level(at(10), "feeds", NOT_RETRYABLE_CALL).0;
     assert_eq!(level(&pool), 90);
     pool.set_aside(at(10), &id("i-c"));
-    assert_eq!(level(&pool), 0, "only failing ones are left");
+    assert_eq!(level(&pool), 0, "only failing servers are left");
 }
 
 #[test]
-fn another_server_is_named_only_if_it_has_room_and_answers() {
+fn alternative_is_reported_only_if_it_has_free_slots_and_answers() {
     let mut pool = pool();
     let has_alternative = |pool: &ServerPool| {
         let choice = pool.choose(at(0), "feeds", ANY, &mut random());
@@ -466,11 +503,11 @@
 }
 
 #[test]
-fn request_is_turned_away_by_a_failing_server_once() {
+fn request_is_refused_by_a_failing_server_at_most_once() {
     let mut call = Call::new(at(0), &route("any", "/"), None);
     assert!(call.may_be_turned_away());
     let refused = not_run(false, NotRunReason::ServerFailing);
-    let next = call.attempt_ended(&id("i-1"), &refused, ALONE, || panic!("it is no repeat"));
+    let next = call.attempt_ended(&id("i-1"), &refused, NO_OTHER, || panic!("not a retry"));
     assert_eq!(next, NextStep::Attempt);
     assert!(!call.may_be_turned_away());
 }
--- a/crates/coordination/tests/mesh_budget.rs
+++ b/crates/coordination/tests/mesh_budget.rs
@@ -1,4 +1,4 @@
-//! The budget for repeats of all nodes together.
+//! Tests that the retry budgets of all nodes together keep to the fleet's bound.
 
 mod mesh_support;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn calls_of_repeated_runs_are_taken_out_of_the_budget() {
+fn nested_calls_of_retried_runs_count_as_retries() {
     let mut budgets = RetryBudgets::new(bound());
     assert!(budgets.withdraw(at(0), "feeds", Repeated::Request));
     for _ in 0..20 {
@@ -26,7 +26,7 @@
     assert!(!budgets.withdraw(at(1000), "feeds", Repeated::Request));
     assert!(
         budgets.withdraw(at(1000), "media", Repeated::Request),
-        "of that service only"
+        "retries to one service must not reduce the budget of another"
     );
 }
 
@@ -37,7 +37,7 @@
     for budget in &mut budgets {
         budget.set_nodes(NODES);
     }
-    let mut repeats_at = Vec::new();
+    let mut retries_at = Vec::new();
     let mut requests = 0;
     for millisecond in 0..30_000_u64 {
         let node = millisecond as usize % NODES;
@@ -46,12 +46,12 @@
             requests += 1;
         }
         if budgets[node].withdraw(at(millisecond), "feeds", Repeated::Request) {
-            repeats_at.push(millisecond);
+            retries_at.push(millisecond);
         }
     }
     assert_eq!(requests, 3000);
     let in_window = |from: u64| {
-        repeats_at
+        retries_at
             .iter()
             .filter(move |at| (from..from + 10_000).contains(*at))
     };
@@ -60,10 +60,10 @@
         .map(|from| in_window(from).count())
         .max();
     let worst = worst.expect("there are windows");
-    assert!(worst > 0, "nothing was allowed");
+    assert!(worst > 0, "no retry was allowed");
     assert!(
         worst as f64 <= 0.2 * 1000.0 + 60.0,
-        "{worst} repeats in a window"
+        "{worst} retries in a window"
     );
 }
 
@@ -74,8 +74,8 @@
     for budget in &mut budgets {
         budget.set_nodes(NODES);
     }
-    // 3,000 requests a second for five seconds, and 12 lost answers at each node
-    // within a moment: 4% of the requests of a window.
+    // 3,000 requests per second for five seconds, and then 12 lost answers at each node at
+    // once: 4% of the requests of a window.
     for request in 0..15_000_usize {
         let node = &mut budgets[request % NODES];
         node.deposit(at(request as u64 / 3), "feeds");
@@ -86,21 +86,21 @@
 }
 
 #[test]
-fn room_for_a_repeat_is_told_without_taking_it() {
+fn checking_for_a_retry_does_not_use_up_the_budget() {
     let mut budgets = RetryBudgets::new(bound());
     let mut left = 0;
     while budgets.has_room(at(0), "feeds", Repeated::Request) {
         assert!(budgets.withdraw(at(0), "feeds", Repeated::Request));
         left += 1;
     }
-    assert!(left > 0, "the fixed number allows some");
+    assert!(left > 0, "the fixed number must allow some retries");
     assert!(!budgets.withdraw(at(0), "feeds", Repeated::Request));
     let later = at(30_000);
     assert!(budgets.has_room(later, "feeds", Repeated::Request));
 }
 
 #[test]
-fn requests_expire_after_the_window_has_been_changed() {
+fn requests_still_expire_after_the_window_was_changed() {
     let mut budgets = RetryBudgets::new(bound());
     budgets.set_nodes(400);
     budgets.deposit(at(60_000), "feeds");
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn hedges_get_little_of_what_is_saved() {
+fn hedges_get_only_a_small_part_of_the_budget() {
     let mut budgets = RetryBudgets::new(bound());
     budgets.set_nodes(95);
     for request in 0..1000 {
@@ -129,12 +129,12 @@
     assert_eq!(hedges.count(), 2);
     assert!(
         budgets.withdraw(at(1000), "feeds", Repeated::Request),
-        "repeats have more"
+        "retries must be allowed more than hedges"
     );
 }
 
 #[test]
-fn a_hedge_is_paid_like_any_repeat() {
+fn a_hedge_is_refused_when_the_retry_budget_is_used_up() {
     let mut budgets = RetryBudgets::new(bound());
     budgets.set_nodes(95);
     for request in 0..15 {
@@ -143,12 +143,12 @@
     assert!(budgets.withdraw(at(20), "feeds", Repeated::Request));
     assert!(
         !budgets.withdraw_for_hedge(at(20), "feeds", Repeated::Request),
-        "it is spent"
+        "the retry has used up the budget"
     );
 }
 
 #[test]
-fn what_was_earned_long_ago_is_worth_nothing() {
+fn requests_before_the_last_windows_allow_no_retries() {
     let mut budgets = RetryBudgets::new(bound());
     budgets.set_nodes(400);
     for request in 0..1000 {
@@ -158,33 +158,35 @@
     assert!(!budgets.withdraw(at(16_000), "feeds", Repeated::Request));
 }
 
-/// Requests and wishes for repeats of a fleet, a tenth of a second after another.
-/// Those of nested calls may use the largest share.
-fn worst_excess(nodes: usize, requests: &[u8], wishes: &[u8]) -> f64 {
+/// Simulates a fleet in steps of 100 ms and returns the largest excess of allowed retries over the
+/// bound in any window; the bound holds if it is not positive. `requests` are the numbers of
+/// requests per step. In each step, four times the number in `tried_retries` retries are tried, as
+/// retries of nested calls, which may use the largest share.
+fn worst_excess(nodes: usize, requests: &[u8], tried_retries: &[u8]) -> f64 {
     const STEP: u64 = 100;
     const WINDOW: usize = 100;
     let mut budgets: Vec<RetryBudgets> = (0..nodes).map(|_| RetryBudgets::new(bound())).collect();
     for budget in &mut budgets {
         budget.set_nodes(nodes);
     }
-    let mut repeats = Vec::new();
-    for (step, (count, wished)) in requests.iter().zip(wishes).enumerate() {
+    let mut retries = Vec::new();
+    for (step, (count, tried)) in requests.iter().zip(tried_retries).enumerate() {
         let now = at(step as u64 * STEP);
         for request in 0..usize::from(*count) {
             budgets[(step * 7 + request) % nodes].deposit(now, "feeds");
         }
-        let paid = (0..usize::from(*wished) * 4).filter(|wish| {
-            budgets[(step * 5 + wish) % nodes].withdraw(now, "feeds", Repeated::NestedCall)
+        let allowed = (0..usize::from(*tried) * 4).filter(|retry| {
+            budgets[(step * 5 + retry) % nodes].withdraw(now, "feeds", Repeated::NestedCall)
         });
-        repeats.push(paid.count());
+        retries.push(allowed.count());
     }
     let sum = |counts: &mut dyn Iterator<Item = usize>| counts.sum::<usize>() as f64;
     let requests_in = |from: usize| {
         let counts = requests.iter().skip(from).take(WINDOW);
         sum(&mut counts.map(|count| usize::from(*count)))
     };
-    let excess = (0..repeats.len()).map(|from| {
-        let spent = sum(&mut repeats.iter().skip(from).take(WINDOW).copied());
+    let excess = (0..retries.len()).map(|from| {
+        let spent = sum(&mut retries.iter().skip(from).take(WINDOW).copied());
         let before = [WINDOW, WINDOW / 2, 0].map(|back| {
             let is_whole = from >= back;
             if is_whole {
@@ -200,19 +202,19 @@
 }
 
 quickcheck! {
-    /// In every window, whatever comes, and however many nodes there are.
-    fn the_bound_holds_in_every_window(nodes: u16, requests: Vec<u8>, wishes: Vec<u8>) -> bool {
+    /// The bound holds in every window for any load and any number of nodes.
+    fn the_bound_holds_in_every_window(nodes: u16, requests: Vec<u8>, tried: Vec<u8>) -> bool {
         let nodes = usize::from(nodes) % 400 + 1;
         // Long enough for several windows.
         let long = |counts: &[u8]| counts.iter().copied().cycle().take(400).collect::<Vec<u8>>();
-        worst_excess(nodes, &long(&requests), &long(&wishes)) <= 0.0
+        worst_excess(nodes, &long(&requests), &long(&tried)) <= 0.0
     }
 
-    /// A fleet that falls silent and is then asked to repeat.
-    fn the_bound_holds_after_the_load_has_gone(nodes: u16, busy: u8, wishes: u8) -> bool {
+    /// The bound holds for a fleet whose load drops and that then tries to send retries.
+    fn the_bound_holds_after_the_load_has_gone(nodes: u16, busy: u8, tried: u8) -> bool {
         let nodes = usize::from(nodes) % 400 + 1;
         let mut requests = vec![busy; 120];
         requests.extend(vec![1; 180]);
-        worst_excess(nodes, &requests, &vec![wishes; 300]) <= 0.0
+        worst_excess(nodes, &requests, &vec![tried; 300]) <= 0.0
     }
 }
--- a/crates/coordination/tests/mesh_health.rs
+++ b/crates/coordination/tests/mesh_health.rs
@@ -1,4 +1,4 @@
-//! Servers that fail part of what they are given.
+//! Tests of the failure share of servers that fail part of their requests.
 
 mod mesh_support;
 
@@ -9,14 +9,15 @@
 const OWN_ZONE: &str = "a";
 const OTHER_ZONE: &str = "b";
 
-/// Runs one request of a caller in `zone`; it takes 30 ms.
+/// Runs one request of a caller in `zone`, for 30 ms.
 fn run(health: &mut ServerHealth, number: u64, zone: &str, end: RunEnd) {
     let run = InboundId(number);
     health.started(at(number), run, zone, false);
     health.ended(at(number + 30), run, end);
 }
 
-fn failing() -> ServerHealth {
+/// The health of a server that failed ten requests from [`OWN_ZONE`].
+fn failing_server() -> ServerHealth {
     let mut health = ServerHealth::default();
     for number in 0..10 {
         run(&mut health, number, OWN_ZONE, RunEnd::Failed);
@@ -25,15 +26,15 @@
 }
 
 #[test]
-fn failures_are_told_by_the_zone_of_the_caller() {
-    let mut health = failing();
+fn failures_count_only_for_the_zone_of_the_caller() {
+    let mut health = failing_server();
     run(&mut health, 11, OTHER_ZONE, RunEnd::Served);
     assert!(health.failure_share(at(40), OWN_ZONE) > 0.5);
     assert_eq!(health.failure_share(at(40), OTHER_ZONE), 0.0);
 }
 
 #[test]
-fn failures_of_nested_calls_are_not_the_servers_own() {
+fn failures_of_nested_calls_do_not_count_against_the_server() {
     let mut health = ServerHealth::default();
     for number in 0..10 {
         let run = InboundId(number);
@@ -46,11 +47,13 @@
 }
 
 #[test]
-fn overdue_run_counts_once_and_at_once() {
+fn overdue_run_counts_as_a_failure_at_once_and_only_once() {
     let mut health = ServerHealth::default();
-    assert_eq!(health.overdue_after(false), None, "nothing is known");
+    assert_eq!(health.overdue_after(false), None, "no run times are known");
     run(&mut health, 0, OWN_ZONE, RunEnd::Served);
-    let limit = health.overdue_after(false).expect("it is known now");
+    let limit = health
+        .overdue_after(false)
+        .expect("a run time is known now");
     assert!(limit >= ms(300));
     let late = InboundId(1);
     health.started(at(100), late, OWN_ZONE, false);
@@ -72,39 +75,45 @@
 }
 
 #[test]
-fn run_that_nobody_waits_for_says_nothing() {
+fn abandoned_run_does_not_count() {
     let mut health = ServerHealth::default();
     run(&mut health, 0, OWN_ZONE, RunEnd::Abandoned);
     assert_eq!(health.failure_share(at(30), OWN_ZONE), 0.0);
 }
 
 #[test]
-fn zone_that_is_failed_most_is_named() {
-    let mut health = failing();
+fn failing_zone_is_the_one_with_the_most_failures() {
+    let mut health = failing_server();
     run(&mut health, 11, OTHER_ZONE, RunEnd::Served);
     let zone = |at_ms| health.failing_zone(at(at_ms)).map(|(zone, _)| zone);
     assert_eq!(zone(40), Some(OWN_ZONE));
-    assert_eq!(zone(20_000), None, "it is forgotten");
+    assert_eq!(zone(20_000), None, "old failures must decay");
 }
 
 #[test]
-fn failing_server_turns_attempts_away_but_for_a_few() {
-    let mut health = failing();
-    let turned_away = (0..80).filter(|_| health.turns_away(at(40), OWN_ZONE));
-    let turned_away = turned_away.count();
-    assert!((60..80).contains(&turned_away), "{turned_away} of 80");
-    assert!(!health.turns_away(at(40), OTHER_ZONE));
-    assert!(!health.turns_away(at(20_000), OWN_ZONE), "it is forgotten");
+fn failing_server_refuses_attempts_except_a_few_trials() {
+    let mut health = failing_server();
+    let refused = (0..80).filter(|_| health.should_refuse(at(40), OWN_ZONE));
+    let refused = refused.count();
+    assert!(
+        (60..80).contains(&refused),
+        "{refused} of 80 attempts were refused"
+    );
+    assert!(!health.should_refuse(at(40), OTHER_ZONE));
+    assert!(
+        !health.should_refuse(at(20_000), OWN_ZONE),
+        "old failures must decay"
+    );
 }
 
 #[test]
-fn a_server_that_starts_again_is_not_held_for_what_it_did_before() {
-    let mut health = failing();
-    assert!(health.turns_away(at(40), OWN_ZONE));
+fn restart_of_the_server_resets_its_failure_share() {
+    let mut health = failing_server();
+    assert!(health.should_refuse(at(40), OWN_ZONE));
     health.server_started();
     assert_eq!(health.failure_share(at(40), OWN_ZONE), 0.0);
-    assert!(!health.turns_away(at(40), OWN_ZONE));
-    // A run of before ends later, and is not counted.
+    assert!(!health.should_refuse(at(40), OWN_ZONE));
+    // A run from before the restart ends later and must not be counted.
     health.ended(at(50), InboundId(3), RunEnd::Failed);
     assert_eq!(health.failure_share(at(50), OWN_ZONE), 0.0);
 }
--- a/crates/coordination/tests/mesh_routes.rs
+++ b/crates/coordination/tests/mesh_routes.rs
@@ -1,4 +1,4 @@
-//! Routes, splits by weight, and what a node was told from outside.
+//! Tests of route lookup, splits by weight, and the snapshot of configuration and servers.
 
 mod mesh_support;
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn every_run_of_requests_is_split_by_weight() {
+fn every_sequence_of_requests_is_split_by_weight() {
     let mut split_route = route("split", "/");
     split_route.destinations = vec![part("feeds", 90), part("media", 10)];
     let mut split = WeightedSplit::default();
@@ -44,12 +44,15 @@
         .collect();
     for window in chosen.windows(300) {
         let media = window.iter().filter(|media| **media).count();
-        assert!((29..=31).contains(&media), "{media} of 300");
+        assert!(
+            (29..=31).contains(&media),
+            "{media} of 300 requests went to media"
+        );
     }
 }
 
 #[test]
-fn destination_without_weight_gets_nothing() {
+fn destination_without_weight_gets_no_requests() {
     let mut split_route = route("split", "/");
     split_route.destinations = vec![part("feeds", 0), part("media", 5)];
     let mut split = WeightedSplit::default();
@@ -62,12 +65,12 @@
     let mut split_route = route("split", "/");
     split_route.destinations = vec![part("feeds", 50), part("media", 50)];
     let mut random = random();
-    let first =
+    let starting_with_media =
         (0..400).filter(|_| WeightedSplit::default().choose(&split_route, &mut random) == "media");
-    let first = first.count();
+    let count = starting_with_media.count();
     assert!(
-        (150..=250).contains(&first),
-        "{first} of 400 begin with media"
+        (150..=250).contains(&count),
+        "{count} of 400 splits begin with media"
     );
 }
 
@@ -95,9 +98,9 @@
 }
 
 #[test]
-fn older_snapshot_is_left_out_as_a_whole() {
+fn older_snapshot_is_ignored_completely() {
     let mut store = SnapshotStore::default();
-    announce(&mut store, 0, 20, server("i-1", "a", 1));
+    apply_entry(&mut store, 0, 20, server("i-1", "a", 1));
     store.advance(at_revision(20));
     assert!(
         store
@@ -114,7 +117,7 @@
 }
 
 #[test]
-fn unusable_configuration_changes_nothing_and_names_every_place() {
+fn invalid_configuration_is_refused_with_all_its_errors() {
     let mut store = SnapshotStore::default();
     store.apply(
         at(0),
@@ -130,7 +133,7 @@
     let Applied::Refused(findings) =
         store.apply(at(1), at_revision(2), Change::Configuration(broken))
     else {
-        panic!("it was not refused");
+        panic!("the configuration was not refused");
     };
     let named = |wanted: fn(&ConfigurationError) -> bool| findings.iter().any(wanted);
     assert!(named(|finding| matches!(
@@ -158,67 +161,70 @@
 }
 
 #[test]
-fn late_news_of_a_server_does_not_bring_it_back() {
+fn outdated_entry_does_not_replace_a_newer_one() {
     let mut store = SnapshotStore::default();
-    announce(&mut store, 0, 5, server("i-1", "a", 1));
+    apply_entry(&mut store, 0, 5, server("i-1", "a", 1));
     let mut draining = server("i-1", "a", 1);
     draining.state = ServerState::Draining;
-    announce(&mut store, 1, 8, draining);
-    let applied = announce(&mut store, 2, 6, server("i-1", "a", 1));
+    apply_entry(&mut store, 1, 8, draining);
+    let applied = apply_entry(&mut store, 2, 6, server("i-1", "a", 1));
     assert_eq!(applied, Applied::Nothing);
     assert!(!store.snapshot().servers[&id("i-1")].instance.is_ready());
 }
 
-/// A store that saw the only server's entry go at 1 s.
-fn store_without_its_server() -> SnapshotStore {
+/// A store whose only server's entry was removed at 1 s.
+fn store_whose_server_vanished() -> SnapshotStore {
     let mut store = SnapshotStore::default();
-    announce(&mut store, 0, 5, server("i-1", "a", 1));
+    apply_entry(&mut store, 0, 5, server("i-1", "a", 1));
     store.apply(at(1000), at_revision(6), Change::ServerGone(id("i-1")));
     assert!(store.snapshot().servers.is_empty());
     store
 }
 
 #[test]
-fn server_that_vanished_without_a_word_is_remembered_until_it_would_be_back() {
-    let mut store = store_without_its_server();
+fn vanished_server_is_kept_until_it_would_have_returned() {
+    let mut store = store_whose_server_vanished();
     assert!(!store.forget_vanished(at(3_000), Some(at(0))));
     assert_eq!(store.recently_vanished().len(), 1);
     assert!(store.forget_vanished(at(3_600), Some(at(0))));
     assert!(store.recently_vanished().is_empty());
     assert!(
         !store.forget_vanished(at(3_600), Some(at(0))),
-        "none is left"
+        "no vanished server is left"
     );
 }
 
 #[test]
-fn server_that_vanished_is_remembered_until_the_source_was_back_for_a_while() {
-    let mut store = store_without_its_server();
-    assert!(!store.forget_vanished(at(60_000), None), "it is away");
+fn vanished_server_is_kept_until_the_source_was_reachable_for_a_while() {
+    let mut store = store_whose_server_vanished();
+    assert!(
+        !store.forget_vanished(at(60_000), None),
+        "the source is unreachable"
+    );
     assert!(!store.forget_vanished(at(62_000), Some(at(60_000))));
     assert!(store.forget_vanished(at(62_600), Some(at(60_000))));
 }
 
 #[test]
-fn server_that_is_back_is_no_longer_a_vanished_one() {
-    let mut store = store_without_its_server();
-    announce(&mut store, 2500, 7, server("i-1", "a", 1));
+fn server_that_returned_is_no_longer_vanished() {
+    let mut store = store_whose_server_vanished();
+    apply_entry(&mut store, 2500, 7, server("i-1", "a", 1));
     assert!(!store.forget_vanished(at(9_000), Some(at(0))));
     assert_eq!(ids_in_force(&store), ["i-1"]);
 }
 
 #[test]
-fn server_that_announced_its_end_is_not_remembered() {
+fn server_that_was_draining_is_not_kept_as_vanished() {
     let mut store = SnapshotStore::default();
     let mut draining = server("i-1", "a", 1);
     draining.state = ServerState::Draining;
-    announce(&mut store, 0, 5, draining);
+    apply_entry(&mut store, 0, 5, draining);
     store.apply(at(1000), at_revision(6), Change::ServerGone(id("i-1")));
     assert!(store.recently_vanished().is_empty());
 }
 
-/// The source tells at `now`, in milliseconds, of an entry of revision `number`.
-fn announce(store: &mut SnapshotStore, now: u64, number: u64, one: ServerInstance) -> Applied {
+/// Applies the entry of a server with the revision `number` at `now`, in milliseconds.
+fn apply_entry(store: &mut SnapshotStore, now: u64, number: u64, one: ServerInstance) -> Applied {
     store.apply(at(now), at_revision(number), Change::Server(one))
 }
 
@@ -228,33 +234,37 @@
 }
 
 #[test]
-fn of_entries_with_one_address_the_newest_is_in_force() {
+fn newest_of_several_entries_with_one_address_is_in_force() {
     let mut store = SnapshotStore::default();
-    announce(&mut store, 0, 5, server("i-old", "a", 1));
-    announce(&mut store, 1, 7, server("i-new", "a", 1));
-    announce(&mut store, 2, 6, server("i-other", "a", 2));
+    apply_entry(&mut store, 0, 5, server("i-old", "a", 1));
+    apply_entry(&mut store, 1, 7, server("i-new", "a", 1));
+    apply_entry(&mut store, 2, 6, server("i-other", "a", 2));
     assert_eq!(ids_in_force(&store), ["i-new", "i-other"]);
 }
 
 #[test]
-fn address_that_went_to_another_service_no_longer_serves_the_former() {
+fn address_taken_over_by_another_service_no_longer_serves_the_former_one() {
     let mut store = SnapshotStore::default();
-    announce(&mut store, 0, 5, server("i-feeds", "a", 1));
+    apply_entry(&mut store, 0, 5, server("i-feeds", "a", 1));
     let mut taken_over = server("i-media", "a", 1);
     taken_over.service = "media".to_owned();
-    announce(&mut store, 1, 6, taken_over);
+    apply_entry(&mut store, 1, 6, taken_over);
     assert_eq!(ids_in_force(&store), ["i-media"]);
     store.apply(at(2), at_revision(7), Change::ServerGone(id("i-feeds")));
-    assert_eq!(ids_in_force(&store), ["i-media"], "its address is taken");
+    assert_eq!(
+        ids_in_force(&store),
+        ["i-media"],
+        "the address belongs to the other service"
+    );
 }
 
 #[test]
 fn draining_server_with_the_newest_entry_keeps_its_address() {
     let mut store = SnapshotStore::default();
-    announce(&mut store, 0, 5, server("i-old", "a", 1));
+    apply_entry(&mut store, 0, 5, server("i-old", "a", 1));
     let mut draining = server("i-new", "a", 1);
     draining.state = ServerState::Draining;
-    announce(&mut store, 1, 6, draining);
+    apply_entry(&mut store, 1, 6, draining);
     assert_eq!(ids_in_force(&store), ["i-new"]);
     assert!(!store.servers_in_force()[0].is_ready());
 }
@@ -262,8 +272,8 @@
 #[test]
 fn older_entry_is_in_force_again_when_the_newer_one_is_gone() {
     let mut store = SnapshotStore::default();
-    announce(&mut store, 0, 5, server("i-old", "a", 1));
-    announce(&mut store, 1, 6, server("i-new", "a", 1));
+    apply_entry(&mut store, 0, 5, server("i-old", "a", 1));
+    apply_entry(&mut store, 1, 6, server("i-new", "a", 1));
     store.apply(at(2), at_revision(7), Change::ServerGone(id("i-new")));
     assert_eq!(ids_in_force(&store), ["i-old"]);
 }
@@ -271,10 +281,10 @@
 #[test]
 fn vanished_server_stays_in_force_only_while_its_service_has_no_other() {
     let mut store = SnapshotStore::default();
-    announce(&mut store, 0, 5, server("i-1", "a", 1));
+    apply_entry(&mut store, 0, 5, server("i-1", "a", 1));
     store.apply(at(1), at_revision(6), Change::ServerGone(id("i-1")));
     assert_eq!(ids_in_force(&store), ["i-1"]);
-    announce(&mut store, 2, 7, server("i-2", "a", 2));
+    apply_entry(&mut store, 2, 7, server("i-2", "a", 2));
     assert_eq!(ids_in_force(&store), ["i-2"]);
 }
 
@@ -286,10 +296,10 @@
         at_revision(1),
         Change::Configuration(configuration(3, vec![route("r", "/a/")])),
     );
-    announce(&mut store, 0, 2, server("i-1", "a", 1));
+    apply_entry(&mut store, 0, 2, server("i-1", "a", 1));
     store.advance(at_revision(2));
-    let bytes = minicbor::to_vec(&**store.snapshot()).expect("encoded");
-    let decoded: Snapshot = minicbor::decode(&bytes).expect("decoded");
+    let bytes = minicbor::to_vec(&**store.snapshot()).expect("the snapshot is encoded");
+    let decoded: Snapshot = minicbor::decode(&bytes).expect("the snapshot is decoded");
     assert_eq!(decoded, **store.snapshot());
     let known: &KnownServer = &decoded.servers[&id("i-1")];
     assert_eq!(known.revision, at_revision(2));
--- a/crates/coordination/tests/mesh_support/mod.rs
+++ b/crates/coordination/tests/mesh_support/mod.rs
@@ -1,4 +1,4 @@
-//! Values for tests of the mesh decisions.
+//! Constructors of test values for the mesh decisions.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -11,6 +11,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
+/// The time of this many milliseconds after [`Timestamp::ZERO`].
 pub fn at(milliseconds: u64) -> Timestamp {
     Timestamp::from_micros(milliseconds * 1000)
 }
@@ -24,7 +25,8 @@
     Revision::new(1, number)
 }
 
-/// What a node says of its snapshot that has a revision of the first era and no configuration.
+/// The version of a snapshot with the revision `number` of the first era (0: none) and no
+/// configuration.
 pub fn version_of(number: u64) -> SnapshotVersion {
     let revision = match number {
         0 => Revision::NONE,
@@ -36,6 +38,7 @@
     }
 }
 
+/// A random number generator with a fixed seed.
 pub fn random() -> SmallRng {
     SmallRng::seed_from_u64(7)
 }
