--- a/crates/coordination/src/mesh/server_selection/mod.rs
+++ b/crates/coordination/src/mesh/server_selection/mod.rs
@@ -1,10 +1,10 @@
-//! Which server of a service gets an attempt.
+//! Selects the server of a service that gets an attempt.
 //!
-//! Every node sees only its own requests and what servers' nodes say with their
-//! answers. The least utilized server is taken; those of the own zone come first
-//! while they have spare room, since a run then takes no longer there. A server
-//! that stays silent or can't be reached is set aside until its node has answered
-//! a probe, so that no request is spent on finding out.
+//! A node knows only its own requests and what servers' nodes report with their
+//! answers. The least utilized server is chosen. Servers in the own zone are preferred
+//! while they have spare slots, since runs take no longer there than at less utilized servers.
+//! A server that is unresponsive or unreachable is suspect until its node has answered
+//! a probe, so that no request is spent on finding out whether it works again.
 
 mod service_levels;
 
@@ -24,44 +24,46 @@
 
 pub use service_levels::KnownLoad;
 
-/// Random part of the comparison, so that nodes that know the same don't all
-/// choose the same server.
-const JITTER: f64 = 0.05;
-/// A server in whose place another answered gets nothing for this time.
+/// Maximum random amount that is added to the cost of a server, so that nodes with the same
+/// information don't all choose the same server.
+const MAX_COST_JITTER: f64 = 0.05;
+/// Time for which a server gets no attempts after another server has answered at its address.
 const MISDIRECTED_PAUSE: Duration = Duration::from_millis(1000);
-/// From this share of lost answers on, a server is not sound.
-const LOSSY_SHARE: f64 = 0.05;
-/// Time until the first probe of a server that was set aside; doubled with each
-/// probe that fails.
+/// Share of lost answers from which on a server is not healthy.
+const UNHEALTHY_LOSS_SHARE: f64 = 0.05;
+/// Delay before the first probe of a suspect server; it doubles with each probe that
+/// fails.
 const FIRST_PROBE_DELAY: Duration = Duration::from_millis(150);
-/// The longest time between probes.
+/// Maximum delay between probes of a suspect server.
 const MAX_PROBE_DELAY: Duration = Duration::from_millis(600);
-/// Without samples an answer is expected within this time.
+/// Assumed latency of an answer while no latencies have been measured.
 const ASSUMED_LATENCY: Duration = Duration::from_millis(200);
-/// A server is not called silent before this time.
+/// Minimum time without an answer after which a server counts as unresponsive.
 const MIN_SILENCE: Duration = Duration::from_millis(300);
 
-/// The server that an attempt should go to.
+/// The result of choosing a server for an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Choice {
-    /// The server.
+    /// The chosen server.
     pub server: ServerInstance,
-    /// Whether another has room and answers what it is given.
+    /// Whether another server has free slots and answers its requests.
     pub has_alternative: bool,
 }
 
-/// The servers of all services.
+/// This node's records of the servers of all services.
 #[derive(Clone, Debug, Default)]
 pub struct ServerPool {
+    /// The zone of this node.
     own_zone: String,
     records: HashMap<InstanceId, ServerRecord>,
+    /// Servers that are ready, by the name of their service.
     by_service: HashMap<String, Vec<InstanceId>>,
-    /// Where the servers listen that were set last.
+    /// The listen addresses of the servers that were set last.
     addresses: HashSet<SocketAddrV4>,
 }
 
 impl ServerPool {
-    /// A pool as seen from `own_zone`, without servers.
+    /// Creates a pool without servers for a node in `own_zone`.
     pub fn new(own_zone: &str) -> Self {
         ServerPool {
             own_zone: own_zone.to_owned(),
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Sets the servers that may get attempts.
+    /// Replaces the list of servers that may be sent attempts.
     pub fn set_servers(
         &mut self,
         now: Timestamp,
@@ -106,8 +108,8 @@
         self.addresses.contains(&address)
     }
 
-    /// The server that should get the next attempt for `service`. A server that is set aside is
-    /// taken only if no other is left.
+    /// Chooses the server for the next attempt at `service`. A suspect server is chosen only if no
+    /// other is left.
     pub fn choose(
         &self,
         now: Timestamp,
@@ -123,13 +125,22 @@
         };
         let best = usable()
             .map(|record| {
-                let set_aside = record.eligibility(now) != Eligibility::Eligible;
+                let is_suspect = record.eligibility(now) != Eligibility::Eligible;
                 let is_failing = wanted.purpose.must_succeed() && is_failing(now, record);
-                let jitter = random.random::<f64>() * JITTER;
-                let suits = Suitability::of(now, record, &self.own_zone, wanted.may_repeat);
+                let jitter = random.random::<f64>() * MAX_COST_JITTER;
+                let suitability = Suitability::of(now, record, &self.own_zone, wanted.may_repeat);
                 let wait = record.time_until_next(now, wanted.may_repeat);
-                let ranks = (set_aside, is_failing, !wait.is_zero(), !suits.is_preferred);
-                (ranks, suits.cost + wait.as_secs_f64() + jitter, record)
+                let penalties = (
+                    is_suspect,
+                    is_failing,
+                    !wait.is_zero(),
+                    !suitability.is_preferred,
+                );
+                (
+                    penalties,
+                    suitability.cost + wait.as_secs_f64() + jitter,
+                    record,
+                )
             })
             .min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)))?;
         let server = best.2.instance.clone();
@@ -137,7 +148,7 @@
             .filter(|record| record.instance.id != server.id)
             .any(|record| {
                 let may_get_more = record.time_until_next(now, wanted.may_repeat).is_zero();
-                may_get_more && is_sound(now, record)
+                may_get_more && is_healthy(now, record)
             });
         Some(Choice {
             server,
@@ -145,7 +156,7 @@
         })
     }
 
-    /// Whether any server of `service` takes new work, as far as is known.
+    /// Whether any server of `service` is ready and has not announced that it is leaving.
     pub fn has_servers(&self, service: &str) -> bool {
         let mut servers = self.by_service.get(service).into_iter().flatten();
         servers.any(|id| {
@@ -154,14 +165,14 @@
         })
     }
 
-    /// Whether a server loses so many answers that one which is late is worth
-    /// asking for elsewhere.
+    /// Whether a server loses so many answers that a late attempt there should be hedged at
+    /// another server.
     pub fn loses_answers(&self, now: Timestamp, id: &InstanceId) -> bool {
         let record = self.records.get(id);
-        record.is_some_and(|record| record.losses(now) >= LOSSY_SHARE)
+        record.is_some_and(|record| record.losses(now) >= UNHEALTHY_LOSS_SHARE)
     }
 
-    /// An attempt was sent.
+    /// Records that an attempt was sent to a server.
     pub fn sent(&mut self, now: Timestamp, id: &InstanceId) {
         if let Some(record) = self.records.get_mut(id) {
             record.in_flight += 1;
@@ -171,15 +182,15 @@
         }
     }
 
-    /// An attempt is over, however it ended.
+    /// Records that an attempt at a server ended, with any outcome.
     pub fn ended(&mut self, id: &InstanceId) {
         if let Some(record) = self.records.get_mut(id) {
             record.in_flight = record.in_flight.saturating_sub(1);
         }
     }
 
-    /// The server's node answered. `latency` is that of a run, and whether it was
-    /// a nested call's.
+    /// Records an answer of a server's node. `latency` is the latency of the run if there was one,
+    /// and whether it was a nested call.
     pub fn heard(
         &mut self,
         now: Timestamp,
@@ -204,21 +215,21 @@
         }
     }
 
-    /// The server's node told its load without an answer of the server.
+    /// Records a load that a server's node reported without an answer of the server.
     pub fn reported(&mut self, now: Timestamp, id: &InstanceId, load: ReportedLoad) {
         if let Some(record) = self.records.get_mut(id) {
             record.record_load_report(now, load);
         }
     }
 
-    /// The server says this of itself.
+    /// Records a notice that a server sent in an answer.
     pub fn noticed(&mut self, now: Timestamp, id: &InstanceId, notice: ServerNotice) {
         if let Some(record) = self.records.get_mut(id) {
             record.record_notice(now, notice);
         }
     }
 
-    /// The server's node turned an attempt away: the server gets as many as it takes.
+    /// Records that a server's node refused an attempt because the server is at its rate limit.
     pub fn rate_limited(&mut self, now: Timestamp, id: &InstanceId) {
         let record = self.records.get_mut(id);
         if let Some(pace) = record.and_then(|record| record.send_pace.as_mut()) {
@@ -226,21 +237,21 @@
         }
     }
 
-    /// The limit that the server names, if it does.
+    /// The rate limit that a server announces, if any.
     pub fn limit_of(&self, id: &InstanceId) -> Option<RequestRate> {
         let pace = self.records.get(id)?.send_pace.as_ref()?;
         Some(pace.limit())
     }
 
-    /// An answer of the server was lost or spoilt.
+    /// Records that an answer of a server was lost or corrupted.
     pub fn lost(&mut self, now: Timestamp, id: &InstanceId) {
         if let Some(record) = self.records.get_mut(id) {
             record.losses.observe(now, true);
         }
     }
 
-    /// The server or its node could not be reached, or stayed silent. True if it
-    /// was in good standing: it is to be probed from now on.
+    /// Marks a server as suspect because it or its node was unreachable or unresponsive. Returns
+    /// true if it was eligible before: then the caller must start probing it.
     pub fn set_aside(&mut self, now: Timestamp, id: &InstanceId) -> bool {
         match self.records.get_mut(id) {
             Some(record) if record.eligibility(now) == Eligibility::Eligible => {
@@ -251,25 +262,26 @@
         }
     }
 
-    /// The server's node says that it leaves. It gets nothing until it announces
-    /// something else.
+    /// Withdraws a server whose node says that it is leaving. It gets no attempts until its
+    /// entry changes.
     pub fn withdraw(&mut self, id: &InstanceId) {
         self.set_withdrawn(id, None);
     }
 
-    /// Another server answered in its place. It gets nothing for a while: it may
-    /// have been one that was about to end.
+    /// Records that another server answered at a server's address. The server gets no attempts for
+    /// [`MISDIRECTED_PAUSE`]; the one that answered may have been about to end.
     pub fn misdirected(&mut self, now: Timestamp, id: &InstanceId) {
         self.set_withdrawn(id, Some(now + MISDIRECTED_PAUSE));
     }
 
+    /// Withdraws a server until the given time, or until its entry changes if there is none.
     fn set_withdrawn(&mut self, id: &InstanceId, until: Option<Timestamp>) {
         if let Some(record) = self.records.get_mut(id) {
             record.set_eligibility(Eligibility::Withdrawn { until });
         }
     }
 
-    /// When the server should be probed next; none if it need not be.
+    /// The delay before the next probe of a server; `None` if it is not suspect.
     pub fn probe_delay(&self, now: Timestamp, id: &InstanceId) -> Option<Duration> {
         let record = self.records.get(id)?;
         let Eligibility::Suspect { failed_probes } = record.eligibility(now) else {
@@ -280,7 +292,7 @@
         Some(delay.min(MAX_PROBE_DELAY))
     }
 
-    /// A probe of the server's node has ended.
+    /// Records the result of a probe of a server's node.
     pub fn probed(&mut self, now: Timestamp, id: &InstanceId, answered: bool) {
         let Some(record) = self.records.get_mut(id) else {
             return;
@@ -293,9 +305,9 @@
         }
     }
 
-    /// Whether a server that was sent an attempt at `sent` has been silent for
-    /// so long that it should be tried elsewhere: it has answered nothing since,
-    /// although that is longer than an answer takes.
+    /// Whether a server that was sent an attempt at `sent` is unresponsive, so that another server
+    /// should be tried: it has answered nothing since then, although that is longer than an
+    /// answer takes.
     pub fn is_silent(
         &self,
         now: Timestamp,
@@ -309,8 +321,8 @@
         record.answered_at < sent && now.saturating_since(sent) >= self.silence(id, is_nested)
     }
 
-    /// How long a server may stay silent before a request or a nested call is
-    /// tried elsewhere.
+    /// Time without an answer of a server after which a request or a nested call is tried at
+    /// another server.
     pub fn silence(&self, id: &InstanceId, is_nested: bool) -> Duration {
         let latency = self
             .records
@@ -322,9 +334,9 @@
     }
 }
 
-/// Whether a server has room and answers what it is given.
-fn is_sound(now: Timestamp, record: &ServerRecord) -> bool {
+/// Whether a server is eligible, has free slots and answers its requests.
+fn is_healthy(now: Timestamp, record: &ServerRecord) -> bool {
     record.eligibility(now) == Eligibility::Eligible
-        && record.losses(now) < LOSSY_SHARE
+        && record.losses(now) < UNHEALTHY_LOSS_SHARE
         && record.utilization(now) < 1.0
 }
--- a/crates/coordination/src/mesh/server_selection/service_levels.rs
+++ b/crates/coordination/src/mesh/server_selection/service_levels.rs
@@ -1,4 +1,4 @@
-//! The lowest admission level of a service, as its servers' nodes have reported it.
+//! The lowest admission level of a service, derived from the reports of its servers' nodes.
 
 use std::time::Duration;
 
@@ -10,28 +10,29 @@
 use crate::mesh::server_suitability::is_failing;
 use crate::mesh::server_wanted::Purpose;
 
-/// An admission level is believed this long, and halved again and again after.
+/// Time for which a reported admission level is valid. After that, it decays exponentially.
 const LEVEL_VALIDITY: Duration = Duration::from_millis(250);
-/// How long it then takes to be halved.
+/// Time in which an admission level that is no longer valid halves.
 const LEVEL_HALF_LIFE: Duration = Duration::from_millis(300);
+
 /// What this node knows of a service's load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownLoad {
-    /// The lowest level that some server lets through.
+    /// The lowest admission level that any server of the service admits.
     pub level: AdmissionLevel,
-    /// The age of the newest report.
+    /// The age of the newest load report of the service's servers.
     pub age: Duration,
-    /// Servers that take new work.
+    /// Number of servers of the service that are ready.
     pub servers: usize,
-    /// Those of them that are set aside.
+    /// Number of these servers that are suspect or withdrawn.
     pub set_aside: usize,
 }
 
 impl ServerPool {
-    /// The lowest level that some server of `service` lets through, of those
-    /// that reported a moment ago. Without such, what was reported last counts,
-    /// less and less. For calls that must succeed, servers that fail much don't
-    /// count while there are others: that they have room is no help.
+    /// The lowest level that any server of `service` with a recent report admits. If there is no
+    /// recent report, the last one counts, decaying with its age. For calls that must succeed,
+    /// servers that fail a large share of requests don't count while there are others, since
+    /// their free slots are of no use.
     pub fn admission_level(
         &self,
         now: Timestamp,
@@ -43,7 +44,7 @@
             .filter_map(|id| self.records.get(id))
             .filter(|record| record.eligibility(now) == Eligibility::Eligible)
             .collect();
-        // One that gets as many requests as it takes tells nothing of the room that others have.
+        // The level of a server at its rate limit says nothing about the free slots of others.
         let may_get_more = |record: &&ServerRecord| record.time_until_next(now, true).is_zero();
         if records.iter().any(may_get_more) {
             records.retain(may_get_more);
@@ -66,10 +67,10 @@
             return lowest;
         }
         let last = levels.iter().min_by_key(|(_, age)| *age);
-        last.map_or(AdmissionLevel::OPEN, |(level, age)| faded(*level, *age))
+        last.map_or(AdmissionLevel::OPEN, |(level, age)| decayed(*level, *age))
     }
 
-    /// What is known of a service's load, for logs.
+    /// What this node knows of a service's load, for logs.
     pub fn known_load(&self, now: Timestamp, service: &str, purpose: Purpose) -> KnownLoad {
         let ids = self.by_service.get(service).into_iter().flatten();
         let records: Vec<&ServerRecord> = ids.filter_map(|id| self.records.get(id)).collect();
@@ -77,20 +78,20 @@
             .iter()
             .map(|record| record.levels[usize::from(purpose.is_nested())].1);
         let last = reports.max().unwrap_or_default();
-        let is_set_aside =
+        let is_ineligible =
             |record: &&&ServerRecord| record.eligibility(now) != Eligibility::Eligible;
         KnownLoad {
             level: self.admission_level(now, service, purpose),
             age: now.saturating_since(last),
             servers: records.len(),
-            set_aside: records.iter().filter(is_set_aside).count(),
+            set_aside: records.iter().filter(is_ineligible).count(),
         }
     }
 }
 
-/// What is left of a level that was reported `age` ago.
-fn faded(level: AdmissionLevel, age: Duration) -> AdmissionLevel {
+/// The level that was reported `age` ago, after its decay.
+fn decayed(level: AdmissionLevel, age: Duration) -> AdmissionLevel {
     let stale = age.saturating_sub(LEVEL_VALIDITY).as_secs_f64();
-    let kept = 0.5_f64.powf(stale / LEVEL_HALF_LIFE.as_secs_f64());
-    AdmissionLevel((f64::from(level.0) * kept) as u16)
+    let remaining = 0.5_f64.powf(stale / LEVEL_HALF_LIFE.as_secs_f64());
+    AdmissionLevel((f64::from(level.0) * remaining) as u16)
 }
