--- a/crates/coordination/src/mesh/admission_queue.rs
+++ b/crates/coordination/src/mesh/admission_queue.rs
@@ -187,7 +187,7 @@
     }
 
     /// Whether a request may be sent to the server. An unresponsive server is sent a trial
-    /// request once per [`TRIAL_INTERVAL`], to detect when it answers again.
+    /// request once per `TRIAL_INTERVAL`, to detect when it answers again.
     pub fn allows_attempt(&mut self, now: Timestamp) -> bool {
         if !self.is_silent(now) {
             return true;
--- a/crates/coordination/src/mesh/loss_estimate.rs
+++ b/crates/coordination/src/mesh/loss_estimate.rs
@@ -30,7 +30,7 @@
         self.updated = now;
     }
 
-    /// The share at `now`: that of the last update, decayed by [`HALF_LIFE`].
+    /// The share at `now`: that of the last update, decayed by `HALF_LIFE`.
     pub fn at(&self, now: Timestamp) -> f64 {
         if self.share == 0.0 {
             return 0.0;
--- a/crates/coordination/src/mesh/server_selection/mod.rs
+++ b/crates/coordination/src/mesh/server_selection/mod.rs
@@ -269,7 +269,7 @@
     }
 
     /// Records that another server answered at a server's address. The server gets no attempts for
-    /// [`MISDIRECTED_PAUSE`]; the one that answered may have been about to end.
+    /// `MISDIRECTED_PAUSE`; the one that answered may have been about to end.
     pub fn misdirected(&mut self, now: Timestamp, id: &InstanceId) {
         self.set_withdrawn(id, Some(now + MISDIRECTED_PAUSE));
     }
