--- a/crates/proxy/src/inbound/admission.rs
+++ b/crates/proxy/src/inbound/admission.rs
@@ -1,4 +1,4 @@
-//! Places in the queue and slots at the server, freed when they are dropped.
+//! Queue places and server slots, held as guards that free them when dropped.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,19 +19,20 @@
 use crate::node::Node;
 use crate::suspects;
 
-/// The shortest time until attempts that wait for the server's limit are looked at again.
+/// The shortest pause before attempts that wait for the server's rate limit are checked again.
 const MIN_START_DELAY: Duration = Duration::from_millis(1);
 
-/// One request at the server. Dropping it frees its slot.
+/// A slot at the server, held by one running request and freed when the permit is dropped.
 pub(super) struct Permit {
     node: Rc<Node>,
     arriving: ArrivingAttempt,
     pub(super) run: InboundId,
     pub(super) started: Timestamp,
+    /// Whether the server has sent a valid answer head.
     pub(super) answered: bool,
-    /// How the run has ended so far.
+    /// How the run counts as ended if the permit is dropped now.
     pub(super) end: RunEnd,
-    /// Whether all of the answer has come.
+    /// Whether the whole answer has been received.
     pub(super) is_complete: Rc<Cell<bool>>,
 }
 
@@ -71,26 +72,28 @@
     }
 }
 
-/// A place in the queue. Dropping it leaves the queue.
-struct Place<'a> {
+/// An attempt's place in the queue, given up when this guard is dropped.
+struct QueuePlace<'a> {
     node: &'a Rc<Node>,
     arriving: &'a ArrivingAttempt,
     ticket: Ticket,
     started: oneshot::Receiver<()>,
-    in_vain: bool,
-    left: bool,
+    /// Whether the attempt timed out or was refused while it waited.
+    is_unserved: bool,
+    /// Whether the attempt was started, so that its place is no longer to be given up.
+    has_started: bool,
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueuePlace<'_> {
     fn drop(&mut self) {
-        if self.left {
+        if self.has_started {
             return;
         }
         let mut state = self.node.state.borrow_mut();
         state.waiters.remove(&self.ticket);
         let was_waiting = state
             .admission
-            .withdraw(self.arriving, self.ticket, self.in_vain);
+            .withdraw(self.arriving, self.ticket, self.is_unserved);
         if !was_waiting {
             let started = state.admission.give_back(self.node.now());
             self.node.start_waiting(&mut state, started);
@@ -98,7 +101,11 @@
     }
 }
 
-/// Waits until the attempt may run, as long as it can.
+/// Waits until the attempt may run, at most for its patience.
+///
+/// # Errors
+///
+/// The attempt was refused, or timed out in the queue.
 pub(super) async fn admit(node: &Rc<Node>, attempt: &Attempt) -> Result<Permit, AttemptOutcome> {
     let now = node.now();
     let id = node.names.request_id_of(attempt.request.headers());
@@ -107,15 +114,15 @@
         priority: attempt.tree.priority,
         is_nested: attempt.tree.is_nested,
         is_repeat: attempt.tree.is_repeat,
-        deadline: attempt.ends,
-        patience: attempt.patience.min(attempt.ends.saturating_since(now)),
+        deadline: attempt.deadline,
+        patience: attempt.patience.min(attempt.deadline.saturating_since(now)),
         zone: attempt.terms.zone.clone(),
         may_go_elsewhere: attempt.terms.may_go_elsewhere,
     };
     let verdict = {
         let mut state = node.state.borrow_mut();
         let state = &mut *state;
-        if let Some(limit) = attempt.told_limit {
+        if let Some(limit) = attempt.limit_known_to_sender {
             state.admission.others_were_told(now, limit);
         }
         let (servers, budgets) = (&state.servers, &state.budgets);
@@ -140,14 +147,15 @@
     }
 }
 
-/// Sees to it that attempts which wait for the server's limit run as soon as that allows, and
-/// that those which the newest has overtaken don't wait in vain.
-fn start_waiting_as_limited(node: &Rc<Node>) {
+/// Schedules attempts that wait for the server's rate limit, so that they start as soon as it
+/// allows, and refuses at once those that can no longer start in time because the newest attempt
+/// has overtaken them.
+fn schedule_waiting_starts(node: &Rc<Node>) {
     let now = node.now();
     let is_needed = {
         let mut state = node.state.borrow_mut();
-        let in_vain = state.admission.waiting_in_vain(now);
-        node.turn_away_waiting(&mut state, &in_vain);
+        let cannot_start = state.admission.waiting_in_vain(now);
+        node.turn_away_waiting(&mut state, &cannot_start);
         state.admission.next_start(now).is_some()
     };
     if !is_needed || node.is_starting_waiting.replace(true) {
@@ -167,7 +175,7 @@
 
 fn next_start(node: &Rc<Node>) -> Option<Duration> {
     let delay = node.state.borrow().admission.next_start(node.now())?;
-    // A timer may go off a moment before the token is there.
+    // A timer may fire a moment before the token is available.
     Some(delay.max(MIN_START_DELAY))
 }
 
@@ -179,24 +187,24 @@
 ) -> Result<Permit, AttemptOutcome> {
     let (start, started) = oneshot::channel();
     node.state.borrow_mut().waiters.insert(ticket, start);
-    start_waiting_as_limited(node);
-    let mut place = Place {
+    schedule_waiting_starts(node);
+    let mut place = QueuePlace {
         node,
         arriving: &arriving,
         ticket,
         started,
-        in_vain: false,
-        left: false,
+        is_unserved: false,
+        has_started: false,
     };
     let until = node.clock.instant(now + arriving.patience).into();
     match timeout_at(until, &mut place.started).await {
         Ok(Ok(())) => {
-            place.left = true;
+            place.has_started = true;
             drop(place);
             Ok(Permit::new(node, arriving))
         }
         _ => {
-            place.in_vain = true;
+            place.is_unserved = true;
             drop(place);
             Err(AttemptOutcome::not_run(NotRunReason::QueueTimeout))
         }
--- a/crates/proxy/src/inbound/crash_detector.rs
+++ b/crates/proxy/src/inbound/crash_detector.rs
@@ -1,5 +1,5 @@
-//! Tells a server that crashed from one that lost an answer: nobody listens at its
-//! address any more.
+//! Distinguishes a server that crashed from one that only lost an answer: after a crash no
+//! process listens at the server's address.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -16,56 +16,59 @@
 use crate::node::Node;
 use crate::suspects;
 
-/// How long a look may take. The server is on the same machine: its system refuses
-/// or takes a connection within a millisecond.
-const LOOK_LIMIT: Duration = Duration::from_millis(50);
-/// A server may lose an answer and crash under that request a moment later: it is
-/// looked at again after these times. One was seen to crash 115 ms after its answer
-/// had broken off.
-const LOOKS_AGAIN: [Duration; 4] = [
+/// Timeout of one connection attempt that checks whether the server still listens. The server is
+/// on the same machine, whose system accepts or refuses a connection within a millisecond.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(50);
+/// Pauses before the repeated checks of a server that lost an answer but still listens: it may
+/// crash under that request a moment later. One server crashed 115 ms after its answer had
+/// broken off.
+const RECHECK_DELAYS: [Duration; 4] = [
     Duration::from_millis(20),
     Duration::from_millis(100),
     Duration::from_millis(200),
     Duration::from_millis(400),
 ];
-/// At most so many contents are named in the line on a crash.
-const NAMED_CONTENTS: usize = 16;
+/// The largest number of request contents named in the log line about a crash.
+const MAX_LOGGED_CONTENTS: usize = 16;
 
-/// A look at the server's address that several lost answers wait for.
-type Look = Shared<LocalBoxFuture<'static, bool>>;
+/// A check whether a process listens at the server's address, shared by all attempts that lost
+/// their answers meanwhile. Resolves to true if none listens.
+type ListenCheck = Shared<LocalBoxFuture<'static, bool>>;
 
-/// What is known of crashes of the server beside a node.
+/// Detects crashes of the server beside this node.
 #[derive(Default)]
 pub struct CrashDetector {
-    /// The server that crashed last.
+    /// The server instance whose crash was detected last.
     crashed: RefCell<Option<InstanceId>>,
-    look: RefCell<Option<Look>>,
-    is_watching: Cell<bool>,
+    /// The check that is running, if there is one.
+    check: RefCell<Option<ListenCheck>>,
+    /// Whether the server is being checked repeatedly after it lost an answer.
+    is_rechecking: Cell<bool>,
 }
 
-/// Whether `server`, which lost an answer, has crashed. If it has not, it is watched
-/// for a moment.
+/// Whether `server`, which lost an answer, has crashed. If it still listens, checks it again
+/// after each of [`RECHECK_DELAYS`].
 pub(super) async fn has_crashed(node: &Rc<Node>, server: &InstanceId) -> bool {
     if is_known_crash(node, server) {
         return true;
     }
     if node.is_leaving(server) {
-        // Its end is planned, and what still runs there is not its cause.
+        // The server's stop is planned: it is not caused by the requests that still run there.
         return false;
     }
-    if look(node).await {
-        note_crash(node, server);
+    if is_nobody_listening(node).await {
+        record_crash(node, server);
         return true;
     }
-    watch(node, server);
+    start_rechecks(node, server);
     false
 }
 
-/// `server` refused a connection: it has crashed, unless its end was planned.
+/// Records a crash of `server` if it refused a connection and its stop was not planned.
 pub(super) fn note_refused(node: &Rc<Node>, server: &InstanceId, error: &io::Error) {
     let is_refused = error.kind() == io::ErrorKind::ConnectionRefused;
     if is_refused && !node.is_leaving(server) && !is_known_crash(node, server) {
-        note_crash(node, server);
+        record_crash(node, server);
     }
 }
 
@@ -74,67 +77,69 @@
     crashed.as_ref() == Some(server)
 }
 
-/// Whether nobody listens at the server's address. Answers that are lost at the same
-/// moment share a look.
-async fn look(node: &Rc<Node>) -> bool {
-    let look = {
-        let mut current = node.crash_detector.look.borrow_mut();
-        current.get_or_insert_with(|| start_look(node)).clone()
+/// Whether no process listens at the server's address. Attempts that lose their answers at the
+/// same moment share one check.
+async fn is_nobody_listening(node: &Rc<Node>) -> bool {
+    let check = {
+        let mut current = node.crash_detector.check.borrow_mut();
+        current
+            .get_or_insert_with(|| start_listen_check(node))
+            .clone()
     };
-    let nobody_listens = look.await;
-    node.crash_detector.look.borrow_mut().take();
+    let nobody_listens = check.await;
+    node.crash_detector.check.borrow_mut().take();
     nobody_listens
 }
 
-fn start_look(node: &Rc<Node>) -> Look {
+fn start_listen_check(node: &Rc<Node>) -> ListenCheck {
     let connecting = node.network.connect(node.settings.server_address);
-    let look = async move {
-        match timeout(LOOK_LIMIT, connecting).await {
+    let check = async move {
+        match timeout(CHECK_TIMEOUT, connecting).await {
             Ok(Err(error)) => error.kind() == io::ErrorKind::ConnectionRefused,
             Ok(Ok(_)) | Err(_) => false,
         }
     };
-    look.boxed_local().shared()
+    check.boxed_local().shared()
 }
 
-fn watch(node: &Rc<Node>, server: &InstanceId) {
-    if !node.crash_detector.is_watching.replace(true) {
-        tokio::task::spawn_local(look_again(node.clone(), server.clone()));
+fn start_rechecks(node: &Rc<Node>, server: &InstanceId) {
+    if !node.crash_detector.is_rechecking.replace(true) {
+        tokio::task::spawn_local(recheck(node.clone(), server.clone()));
     }
 }
 
-async fn look_again(node: Rc<Node>, server: InstanceId) {
-    for pause in LOOKS_AGAIN {
+async fn recheck(node: Rc<Node>, server: InstanceId) {
+    for pause in RECHECK_DELAYS {
         sleep(pause).await;
         if is_known_crash(&node, &server) || node.is_leaving(&server) {
             break;
         }
-        if look(&node).await {
-            note_crash(&node, &server);
+        if is_nobody_listening(&node).await {
+            record_crash(&node, &server);
             break;
         }
     }
-    node.crash_detector.is_watching.set(false);
+    node.crash_detector.is_rechecking.set(false);
 }
 
-fn note_crash(node: &Rc<Node>, server: &InstanceId) {
+fn record_crash(node: &Rc<Node>, server: &InstanceId) {
     let contents = {
         let mut state = node.state.borrow_mut();
         state.server_runs.crashed(node.now(), server)
     };
     if contents.is_empty() {
-        // It ran nothing: as before its start, or long after its end.
+        // The server ran no request: it has not started yet, or stopped long ago.
         return;
     }
     *node.crash_detector.crashed.borrow_mut() = Some(server.clone());
     node.metrics.server_crashes.inc();
     info!(node.log, "server crashed"; "server" => server.as_str(), "runs" => contents.len(),
-        "contents" => named(&contents), "revision" => %node.revision());
+        "contents" => join_contents(&contents), "revision" => %node.revision());
     suspects::note_own_crash(node, server, &contents);
 }
 
-fn named(contents: &[CallerContent]) -> String {
-    let named = contents.iter().take(NAMED_CONTENTS);
-    let named: Vec<String> = named.map(ToString::to_string).collect();
-    named.join(" ")
+fn join_contents(contents: &[CallerContent]) -> String {
+    let shown = contents.iter().take(MAX_LOGGED_CONTENTS);
+    let shown: Vec<String> = shown.map(ToString::to_string).collect();
+    shown.join(" ")
 }
--- a/crates/proxy/src/inbound/mod.rs
+++ b/crates/proxy/src/inbound/mod.rs
@@ -1,11 +1,11 @@
 //! Attempts for the server beside this node.
 //!
-//! - [`peer_port`]: attempts of other nodes, and what else they ask;
-//! - [`admission`]: places in the queue and slots at the server;
-//! - [`server_run`]: an attempt at the server, and what its answer says;
-//! - [`server_notice`]: what the server says of itself in its answers;
-//! - [`crash_detector`]: whether a server that lost an answer has crashed;
-//! - [`in_progress`]: which requests other nodes have an attempt of here.
+//! - [`peer_port`]: takes the attempts and other queries of other nodes;
+//! - [`admission`]: assigns places in the queue and slots at the server;
+//! - [`server_run`]: sends an attempt to the server and classifies its answer;
+//! - [`server_notice`]: reads what the server reports about itself in its answers;
+//! - [`crash_detector`]: detects whether a server that lost an answer has crashed;
+//! - [`in_progress`]: counts the attempts of other nodes that are in progress here.
 
 mod admission;
 pub mod crash_detector;
@@ -33,49 +33,50 @@
 use crate::http::ProxyBody;
 use crate::http::pool::Reuse;
 use crate::inbound::admission::admit;
-use crate::inbound::server_run::run;
+use crate::inbound::server_run::send_to_server;
 use crate::node::Node;
 use crate::peer_headers;
 use crate::peer_headers::{Terms, TreePlace};
 use crate::suspects::permission;
 
-/// How much longer than the caller's node this one waits for its server.
-const GIVE_UP_MARGIN: Duration = Duration::from_millis(50);
+/// How much longer than the caller's node the server's node waits for the server's answer.
+const SERVER_TIMEOUT_MARGIN: Duration = Duration::from_millis(50);
 
-/// An attempt, as it came from this node's callers or from another node.
+/// An attempt to have a request answered by one server, made for a caller of this node or sent by
+/// another node.
 pub struct Attempt {
-    /// The request, as it goes to the server but for its deadline.
+    /// The request as it is sent to the server, except for its deadline header.
     pub request: Request<ProxyBody>,
-    /// What it asks of the server.
+    /// Fingerprint of the request's content, with the calling service.
     pub content: CallerContent,
-    /// The server that is meant.
+    /// The server instance that is to answer the attempt.
     pub server: InstanceId,
-    /// When the caller's node gives it up.
-    pub ends: Timestamp,
-    /// Its place in the tree of its request.
+    /// When the caller's node stops waiting for the attempt.
+    pub deadline: Timestamp,
+    /// The attempt's place in the call tree of its request.
     pub tree: TreePlace,
-    /// How long it may wait before it runs.
+    /// How long the attempt may wait in the server's queue before it runs.
     pub patience: Duration,
-    /// The limit that the server named to the sender, if it did.
-    pub told_limit: Option<RequestRate>,
-    /// What it allows, and where it comes from.
+    /// The request rate limit that the sending node knows for the server, if any.
+    pub limit_known_to_sender: Option<RequestRate>,
+    /// Whether the attempt may be redirected or repeated, and the zone that it comes from.
     pub terms: Terms,
-    /// On which connections to another node it may be sent.
+    /// Which connections to another node the attempt may be sent on.
     pub reuse: Reuse,
-    /// Whether its answer has begun to arrive.
-    pub answer_begun: Rc<Cell<bool>>,
+    /// Whether the answer to the attempt has begun to arrive.
+    pub has_answer_begun: Rc<Cell<bool>>,
 }
 
 /// How an attempt ended, with the server's answer if there is one.
 pub struct AttemptOutcome {
-    /// How it ended.
+    /// How the attempt ended.
     pub end: AttemptEnd,
-    /// The server's answer.
+    /// The server's answer; none if no answer arrived.
     pub response: Option<Response<ProxyBody>>,
 }
 
 impl AttemptOutcome {
-    /// The server was not asked.
+    /// The outcome of an attempt that was never sent to the server.
     pub fn not_run(reason: NotRunReason) -> Self {
         AttemptOutcome {
             end: AttemptEnd::NotRun {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// It may have run.
+    /// The outcome of an attempt that the server may have run.
     pub fn unknown(reason: UnknownReason) -> Self {
         AttemptOutcome {
             end: AttemptEnd::Unknown { reason },
@@ -107,7 +108,7 @@
     outcome
 }
 
-/// What is said of an attempt that the server did not answer.
+/// What is logged about an attempt that the server did not answer.
 struct LoggedAttempt {
     request_id: String,
     content: CallerContent,
@@ -162,19 +163,22 @@
         return refused;
     }
     permission::settled(node, &attempt.content).await;
-    if let Some(refused) = refuse_poison(node, &attempt) {
+    if let Some(refused) = refuse_server_crashing(node, &attempt) {
         return refused;
     }
-    // The caller's node gives up first, and knows best what to tell.
-    let ends = node.clock.instant(attempt.ends + GIVE_UP_MARGIN).into();
-    match timeout_at(ends, run(node, attempt, permit)).await {
+    // The caller's node must time out first, since it decides what the caller is told.
+    let timeout_end = node
+        .clock
+        .instant(attempt.deadline + SERVER_TIMEOUT_MARGIN)
+        .into();
+    match timeout_at(timeout_end, send_to_server(node, attempt, permit)).await {
         Ok(outcome) => outcome,
         Err(_) => AttemptOutcome::unknown(UnknownReason::Silent),
     }
 }
 
-/// Whether the attempt can't be for the server beside this node, or comes too
-/// late for it.
+/// Refuses an attempt that is meant for another server instance, or that arrives after this node
+/// or its server has begun to leave.
 fn refusal(node: &Rc<Node>, attempt: &Attempt) -> Option<AttemptOutcome> {
     let reason = match node.takes_attempts() {
         false => Some(NotRunReason::NodeLeaving),
@@ -183,9 +187,9 @@
     reason.map(AttemptOutcome::not_run)
 }
 
-/// Whether the attempt would crash the server. It is asked right before it runs, since
-/// that may be found out while it waits.
-fn refuse_poison(node: &Rc<Node>, attempt: &Attempt) -> Option<AttemptOutcome> {
+/// Refuses an attempt whose content crashes servers. Checked right before the attempt runs, since
+/// other nodes may report crashes while it waits.
+fn refuse_server_crashing(node: &Rc<Node>, attempt: &Attempt) -> Option<AttemptOutcome> {
     let time = permission::refused_for(node, &attempt.server, &attempt.content)?;
     Some(AttemptOutcome {
         end: AttemptEnd::NotRun {
@@ -197,7 +201,7 @@
     })
 }
 
-/// A header value of whole milliseconds.
+/// Returns `duration` in whole milliseconds as a header value.
 pub fn milliseconds_value(duration: Duration) -> HeaderValue {
     HeaderValue::from(duration.as_millis() as u64)
 }
--- a/crates/proxy/src/inbound/peer_port.rs
+++ b/crates/proxy/src/inbound/peer_port.rs
@@ -1,4 +1,4 @@
-//! Attempts of other nodes, and what else they ask.
+//! The port that takes the attempts and other queries of other nodes.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -20,12 +20,12 @@
 use crate::tenants::lending;
 use crate::{peer_headers, probe, request_content, snapshots};
 
-/// Bodies up to this size are taken in whole before they go to the server.
-const MAX_HELD_REQUEST: usize = 256 * 1024;
-/// What a request without a deadline gets.
+/// Request bodies up to this size, in bytes, are buffered whole before they go to the server.
+const MAX_BUFFERED_REQUEST_BYTES: usize = 256 * 1024;
+/// Time limit of an attempt whose headers name no deadline.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
-/// The port for other nodes.
+/// Handler of the port that other nodes connect to.
 pub struct Inbound(pub Rc<Node>);
 
 impl Handler for Inbound {
@@ -49,7 +49,7 @@
             _ => {}
         }
         let request_id = node.names.request_id_of(request.headers());
-        let _in_progress = node.attempts_in_progress.enter(request_id);
+        let _in_progress = node.attempts_in_progress.track(request_id);
         let (tree, terms) = peer_headers::tree(request.headers());
         let outcome = match read_attempt(node, request).await {
             Some(attempt) => execute(node, attempt).await,
@@ -73,9 +73,10 @@
     }
 }
 
-/// Whether what another node asks depends on how fresh this one's view is. Questions about
-/// requests that crash servers don't, which each node asks at its start, nor do those of nodes that
-/// watch the source themselves: idle watchers would ask it more often for them.
+/// Whether a request of another node depends on how fresh this node's view is. Queries about
+/// requests that crash servers, which each node sends at its start, do not. Neither do snapshot
+/// queries of nodes that watch the source themselves: they would make idle watchers ask the source
+/// more often.
 fn needs_fresh_view(node: &Rc<Node>, path: &str, sender: Option<SocketAddrV4>) -> bool {
     match path {
         peer_headers::SUSPECTS_PATH => false,
@@ -92,8 +93,10 @@
     let server = node.known_start(InstanceId::new(server.to_str().ok()?));
     let left = peer_headers::milliseconds(&head.headers, &node.names.deadline_ms);
     let patience = peer_headers::milliseconds(&head.headers, &peer_headers::PATIENCE);
-    let told_limit = peer_headers::number(&head.headers, &peer_headers::TOLD_LIMIT);
-    let body = body::read(incoming?, MAX_HELD_REQUEST).await.ok()?;
+    let limit_known_to_sender = peer_headers::number(&head.headers, &peer_headers::TOLD_LIMIT);
+    let body = body::read(incoming?, MAX_BUFFERED_REQUEST_BYTES)
+        .await
+        .ok()?;
     let body = ProxyBody::from(body);
     let (tree, terms) = peer_headers::tree(&head.headers);
     let caller = head.headers.get(&node.names.caller_service);
@@ -102,14 +105,14 @@
     Some(Attempt {
         content,
         tree,
-        told_limit,
+        limit_known_to_sender,
         terms,
         server,
-        ends: arrived + left.unwrap_or(DEFAULT_DEADLINE),
+        deadline: arrived + left.unwrap_or(DEFAULT_DEADLINE),
         patience: patience.unwrap_or_default(),
         request: Request::from_parts(head, body),
         reuse: Reuse::Any,
-        answer_begun: Rc::default(),
+        has_answer_begun: Rc::default(),
     })
 }
 
--- a/crates/proxy/src/inbound/server_notice.rs
+++ b/crates/proxy/src/inbound/server_notice.rs
@@ -1,4 +1,5 @@
-//! What the server beside this node says of itself in its answers: read, logged and counted.
+//! Reads, logs and counts what the server beside this node reports about itself in its answers:
+//! its request rate limit, and whether it is leaving.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -13,40 +14,43 @@
 use crate::metrics::NO_LIMIT;
 use crate::node::Node;
 
-/// Limits that could not be read which are remembered, so that each is logged once. Further ones
-/// are not logged.
-const KEPT_INVALID: usize = 32;
+/// The largest number of unreadable limit values that are remembered, so that each is logged only
+/// once. Once the memory is full, further values are not logged.
+const MAX_REMEMBERED_INVALID_LIMITS: usize = 32;
 
-/// What was logged of the server beside a node.
+/// What has been logged about the notices of the server beside this node.
 #[derive(Default)]
 pub struct NoticeLog {
+    /// The server's notice that was logged last.
     logged: RefCell<ServerNotice>,
-    /// Limits that could not be read, and whose they were.
-    invalid: RefCell<HashSet<(InstanceId, HeaderValue)>>,
+    /// Limit values that could not be parsed, each with the server that sent it.
+    invalid_limits: RefCell<HashSet<(InstanceId, HeaderValue)>>,
 }
 
 impl NoticeLog {
-    /// Whether a limit that can't be read was not logged yet.
-    fn is_new(&self, server: &InstanceId, value: &HeaderValue) -> bool {
-        let mut invalid = self.invalid.borrow_mut();
-        invalid.len() < KEPT_INVALID && invalid.insert((server.clone(), value.clone()))
+    /// Remembers an unreadable limit value of `server`. Returns whether it should be logged: it is
+    /// new, and there was still room to remember it.
+    fn remember_invalid(&self, server: &InstanceId, value: &HeaderValue) -> bool {
+        let mut invalid_limits = self.invalid_limits.borrow_mut();
+        invalid_limits.len() < MAX_REMEMBERED_INVALID_LIMITS
+            && invalid_limits.insert((server.clone(), value.clone()))
     }
 }
 
-/// Takes in what an answer of `server` says of it.
-pub(super) fn note_answer(node: &Rc<Node>, server: &InstanceId, headers: &HeaderMap) {
+/// Applies what the headers of an answer from `server` report about the server itself.
+pub(super) fn apply_notice(node: &Rc<Node>, server: &InstanceId, headers: &HeaderMap) {
     let notice = ServerNotice {
-        limit: limit(node, server, headers),
+        limit: parse_limit(node, server, headers),
         is_leaving: is_leaving(node, headers),
     };
-    let is_new = note_change(node, server, notice);
+    let has_changed = log_change(node, server, notice);
     let now = node.now();
     let mut state = node.state.borrow_mut();
     let started = state.admission.server_noticed(now, server, notice);
     node.start_waiting(&mut state, started);
-    if is_new {
-        let in_vain = state.admission.waiting_in_vain(now);
-        node.turn_away_waiting(&mut state, &in_vain);
+    if has_changed {
+        let cannot_start = state.admission.waiting_in_vain(now);
+        node.turn_away_waiting(&mut state, &cannot_start);
     }
 }
 
@@ -55,14 +59,15 @@
     value.is_some_and(|value| value == node.names.leaving_word)
 }
 
-/// The limit that the server names; none if that is no number.
-fn limit(node: &Rc<Node>, server: &InstanceId, headers: &HeaderMap) -> Option<RequestRate> {
+/// Parses the request rate limit that the server's answer names; none if it names none or an
+/// unreadable one.
+fn parse_limit(node: &Rc<Node>, server: &InstanceId, headers: &HeaderMap) -> Option<RequestRate> {
     let value = headers.get(&node.names.server_limit)?;
     let text = value.to_str().unwrap_or_default();
     match text.parse() {
         Ok(limit) => Some(limit),
         Err(error) => {
-            if node.notice_log.is_new(server, value) {
+            if node.notice_log.remember_invalid(server, value) {
                 warn!(node.log, "server limit not understood"; "server" => %server,
                     "value" => text, "error" => %error);
             }
@@ -71,8 +76,8 @@
     }
 }
 
-/// Logs and counts what has changed. Whether anything has.
-fn note_change(node: &Rc<Node>, server: &InstanceId, notice: ServerNotice) -> bool {
+/// Logs a change of the server's notice and updates its metrics. Returns whether it has changed.
+fn log_change(node: &Rc<Node>, server: &InstanceId, notice: ServerNotice) -> bool {
     let before = node.notice_log.logged.replace(notice);
     if notice == before {
         return false;
--- a/crates/proxy/src/inbound/server_run.rs
+++ b/crates/proxy/src/inbound/server_run.rs
@@ -1,4 +1,4 @@
-//! An attempt at the server beside this node, and what its answer says.
+//! Sends an attempt to the server beside this node and classifies the server's answer.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -20,18 +20,18 @@
 use crate::node::Node;
 use crate::peer_headers;
 
-/// Answers up to this size are taken in whole before any of it is passed on, so
-/// that one which breaks off can still be asked for elsewhere.
-const MAX_HELD_ANSWER: usize = 256 * 1024;
+/// Answers up to this size, in bytes, are buffered whole before any part is forwarded, so that
+/// the attempt can still be repeated at another server if the answer breaks off.
+const MAX_BUFFERED_ANSWER_BYTES: usize = 256 * 1024;
 
-/// Sends an admitted attempt to the server, and takes its answer.
-pub(super) async fn run(
+/// Sends an admitted attempt to the server and reads the server's answer.
+pub(super) async fn send_to_server(
     node: &Rc<Node>,
     mut attempt: Attempt,
     mut permit: Permit,
 ) -> AttemptOutcome {
     let names = &node.names;
-    let left = attempt.ends.saturating_since(node.now());
+    let left = attempt.deadline.saturating_since(node.now());
     let headers = attempt.request.headers_mut();
     peer_headers::strip(headers);
     headers.insert(&names.deadline_ms, milliseconds_value(left));
@@ -43,9 +43,9 @@
     };
     let connections = &node.server_connections;
     if node.is_own_server_silent() {
-        // It may be the connections that are silent. With twelve such, tried one by
-        // one, a server was served again after 4.6 s; on a new one, within 1.5 s
-        // (test `silent_connections`).
+        // The idle connections may be silent rather than the server. With twelve silent
+        // connections tried one after another, requests were answered again after 4.6 s; on a
+        // new connection, within 1.5 s (test `silent_connections`).
         connections.close_idle(node.settings.server_address);
     }
     let server = attempt.server;
@@ -55,7 +55,7 @@
         .started(permit.run, attempt.content, &server);
     node.metrics.server_requests.inc();
     let sending = connections.send(node.settings.server_address, attempt.request, reuse);
-    let sent = note_overdue(node, &permit, attempt.tree.is_nested, sending).await;
+    let sent = await_noting_overdue(node, &permit, attempt.tree.is_nested, sending).await;
     permit.end = RunEnd::Failed;
     let (response, lease) = match sent {
         Ok(answered) => answered,
@@ -65,11 +65,11 @@
             return AttemptOutcome::not_run(NotRunReason::ServerUnreachable);
         }
         Err(SendError::Lost(error)) => {
-            let reason = lost_reason(node, &server, &error).await;
+            let reason = lost_answer_reason(node, &server, &error).await;
             return AttemptOutcome::unknown(reason);
         }
     };
-    server_notice::note_answer(node, &server, response.headers());
+    server_notice::apply_notice(node, &server, response.headers());
     let is_failure = response.status().is_server_error();
     let is_misdirected = response.status() == StatusCode::MISDIRECTED_REQUEST;
     node.state.borrow_mut().admission.answered(
@@ -83,10 +83,10 @@
     if let Some(end) = server_refusal(node, response.status(), response.headers()) {
         node.state.borrow_mut().server_runs.not_run(permit.run);
         if is_misdirected {
-            // The server that was meant is not there: it has failed nothing.
+            // Another server instance listens at the address: the intended one has failed no run.
             permit.end = RunEnd::Abandoned;
         }
-        finish_reading(response, lease).await;
+        drain_answer(response, lease).await;
         return AttemptOutcome {
             end,
             response: None,
@@ -102,12 +102,12 @@
     }
     let took = node.now().saturating_since(permit.started);
     node.metrics.server_duration.observe(took.as_secs_f64());
-    take_answer(node, &server, response, lease, permit).await
+    read_answer(node, &server, response, lease, permit).await
 }
 
-/// Waits for `sending`, and takes note if the server is longer about it than
-/// about almost all other runs.
-async fn note_overdue<T>(
+/// Awaits `sending`, and reports the run as overdue if it takes longer than almost all other
+/// runs at the server do.
+async fn await_noting_overdue<T>(
     node: &Rc<Node>,
     permit: &Permit,
     is_nested: bool,
@@ -126,7 +126,11 @@
     sending.await
 }
 
-async fn lost_reason(node: &Rc<Node>, server: &InstanceId, error: &hyper::Error) -> UnknownReason {
+async fn lost_answer_reason(
+    node: &Rc<Node>,
+    server: &InstanceId,
+    error: &hyper::Error,
+) -> UnknownReason {
     if crash_detector::has_crashed(node, server).await {
         UnknownReason::ServerCrashed
     } else if error.is_parse() {
@@ -136,7 +140,8 @@
     }
 }
 
-/// What a server's answer says if it says that the request was not run.
+/// Returns how the attempt ended if the server's answer says that the request was not run;
+/// otherwise none.
 fn server_refusal(node: &Rc<Node>, status: StatusCode, headers: &HeaderMap) -> Option<AttemptEnd> {
     let is_misdirected = status == StatusCode::MISDIRECTED_REQUEST;
     if !is_misdirected && !headers.contains_key(&node.names.not_run) {
@@ -156,13 +161,15 @@
     })
 }
 
-async fn finish_reading(response: Response<Incoming>, lease: Lease) {
-    if let Ok(ReadBody::Whole(_)) = body::read(response.into_body(), MAX_HELD_ANSWER).await {
+async fn drain_answer(response: Response<Incoming>, lease: Lease) {
+    if let Ok(ReadBody::Whole(_)) =
+        body::read(response.into_body(), MAX_BUFFERED_ANSWER_BYTES).await
+    {
         lease.keep();
     }
 }
 
-async fn take_answer(
+async fn read_answer(
     node: &Rc<Node>,
     server: &InstanceId,
     response: Response<Incoming>,
@@ -171,10 +178,10 @@
 ) -> AttemptOutcome {
     let (mut head, incoming) = response.into_parts();
     remove_single_connection(&mut head.headers);
-    let body = match body::read(incoming, MAX_HELD_ANSWER).await {
+    let body = match body::read(incoming, MAX_BUFFERED_ANSWER_BYTES).await {
         Err(error) => {
             permit.end = RunEnd::Failed;
-            let reason = lost_reason(node, server, &error).await;
+            let reason = lost_answer_reason(node, server, &error).await;
             return AttemptOutcome::unknown(reason);
         }
         Ok(ReadBody::Whole(whole)) => {
--- a/crates/proxy/src/outbound/attempts.rs
+++ b/crates/proxy/src/outbound/attempts.rs
@@ -129,7 +129,7 @@
     check: Timestamp,
     silence: Duration,
     is_nested: bool,
-    answer_begun: Rc<Cell<bool>>,
+    has_answer_begun: Rc<Cell<bool>>,
 }
 
 impl Watched {
@@ -164,7 +164,7 @@
                 probe::set_aside(node, &self.server, "silent");
                 Finding::ServerLost
             }
-            Liveness::AttemptNotThere if self.answer_begun.get() => Finding::InProgress,
+            Liveness::AttemptNotThere if self.has_answer_begun.get() => Finding::InProgress,
             Liveness::AttemptNotThere => {
                 let address = node.node_beside(&self.server);
                 info!(node.log, "connection silent"; "request" => request_id,
@@ -214,7 +214,7 @@
         request: outgoing_request(node, request, &server, body),
         content: request.content.clone(),
         server: server.id.clone(),
-        ends: call.ends(),
+        deadline: call.ends(),
         tree: TreePlace {
             is_repeat: request.tree.is_repeat || call.is_repeat(),
             ..request.tree
@@ -225,11 +225,11 @@
             may_go_elsewhere: choice.has_alternative && call.may_be_turned_away(),
             may_repeat: request.route.route.is_idempotent(),
         },
-        told_limit: node.state.borrow().servers.limit_of(&server.id),
+        limit_known_to_sender: node.state.borrow().servers.limit_of(&server.id),
         reuse,
-        answer_begun: Rc::default(),
+        has_answer_begun: Rc::default(),
     };
-    let answer_begun = attempt.answer_begun.clone();
+    let has_answer_begun = attempt.has_answer_begun.clone();
     let pause = call.pause_before(&server.id);
     sending.push(Box::pin(async move {
         if !pause.is_zero() {
@@ -244,7 +244,7 @@
         check: sent + silence,
         silence,
         is_nested: request.tree.is_nested,
-        answer_begun,
+        has_answer_begun,
     })
 }
 
--- a/crates/proxy/src/outbound/send.rs
+++ b/crates/proxy/src/outbound/send.rs
@@ -130,14 +130,14 @@
     mut attempt: Attempt,
 ) -> (AttemptOutcome, Report) {
     let address = node.node_beside(server);
-    let answer_begun = attempt.answer_begun.clone();
+    let has_answer_begun = attempt.has_answer_begun.clone();
     let asked = node.now();
     let headers = attempt.request.headers_mut();
-    let left = attempt.ends.saturating_since(asked);
+    let left = attempt.deadline.saturating_since(asked);
     headers.insert(&node.names.deadline_ms, milliseconds_value(left));
     let place = peer_headers::tree_value(&attempt.tree, &attempt.terms);
     headers.insert(peer_headers::TREE, place);
-    if let Some(limit) = attempt.told_limit
+    if let Some(limit) = attempt.limit_known_to_sender
         && let Ok(limit) = HeaderValue::try_from(limit.to_string())
     {
         headers.insert(peer_headers::TOLD_LIMIT, limit);
@@ -159,7 +159,7 @@
             return (outcome, Report::default());
         }
     };
-    answer_begun.set(true);
+    has_answer_begun.set(true);
     let (mut head, incoming) = response.into_parts();
     snapshots::note_snapshot(node, &head.headers, address);
     snapshots::note_view(node, &head.headers, asked);
