--- a/crates/proxy/src/outbound/answer.rs
+++ b/crates/proxy/src/outbound/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when no server's answer is passed on, and the log of it.
+//! Answers a caller when no server's answer is forwarded, and logs why.
 
 use std::rc::Rc;
 
@@ -16,16 +16,17 @@
 use crate::outbound::request::RoutedRequest;
 use crate::peer_headers;
 
-/// What became of a request that did not run and never will.
+/// Outcome label of a request that did not run and will not be attempted again.
 pub(super) const REFUSED: &str = "refused";
 
-/// Logs and gives the final answer.
+/// Logs the final answer to a request that was not served, and returns its outcome label and the
+/// response to the caller.
 pub(super) fn finish(
     node: &Rc<Node>,
     request: &RoutedRequest,
     answer: FinalAnswer,
 ) -> (&'static str, Response<ProxyBody>) {
-    let (outcome, why) = answer_words(&answer);
+    let (outcome, why) = answer_labels(&answer);
     if node.may_log() {
         let now = node.now();
         let held = now.saturating_since(request.arrived).as_millis() as u64;
@@ -49,7 +50,7 @@
     (outcome, final_response(node, answer))
 }
 
-fn answer_words(answer: &FinalAnswer) -> (&'static str, &'static str) {
+fn answer_labels(answer: &FinalAnswer) -> (&'static str, &'static str) {
     match answer {
         FinalAnswer::Unknown => ("unknown", "answer-lost"),
         FinalAnswer::TimedOut => ("timed-out", "out-of-time"),
@@ -83,7 +84,8 @@
                 _ => StatusCode::SERVICE_UNAVAILABLE,
             });
             let seconds = format!("{:.3}", retry_after.as_secs_f64());
-            let seconds = HeaderValue::try_from(seconds).expect("digits and a point");
+            let seconds =
+                HeaderValue::try_from(seconds).expect("a decimal number is a valid header value");
             response
                 .headers_mut()
                 .insert(&node.names.retry_after, seconds);
@@ -98,7 +100,8 @@
     response
 }
 
-/// Logs a request that was answered before it had a route.
+/// Logs a request that was answered before its attempts could begin: it has no route, its key was
+/// refused, or its body could not be read.
 pub(super) fn log_unrouted(node: &Rc<Node>, head: &Parts, why: &str) {
     if !node.may_log() {
         return;
@@ -111,7 +114,7 @@
         "configuration" => version, "revision" => %node.revision());
 }
 
-/// Logs an attempt that brought no answer.
+/// Logs an attempt that ended without an answer from its server.
 pub(super) fn log_attempt(
     node: &Rc<Node>,
     request: &RoutedRequest,
--- a/crates/proxy/src/outbound/attempts.rs
+++ b/crates/proxy/src/outbound/attempts.rs
@@ -1,4 +1,5 @@
-//! The attempts of one request.
+//! Sends the attempts of one request: one after another, or a hedge beside an attempt whose server
+//! or connection is silent.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -27,67 +28,67 @@
 use crate::node::Node;
 use crate::outbound::answer::{finish, log_attempt};
 use crate::outbound::request::RoutedRequest;
-use crate::outbound::send::{outgoing_request, send};
+use crate::outbound::send::{outgoing_request, send_attempt};
 use crate::peer_headers::{self, Terms, TreePlace};
 use crate::probe::{self, Liveness};
 use crate::suspects;
 use crate::suspects::permission::{self, Permission};
 
-/// The part of the target latency that a request may spend in queues.
-const QUEUE_SHARE: f64 = 0.2;
-/// The part of the time it has left that a nested call may spend in queues.
-const NESTED_QUEUE_SHARE: f64 = 0.5;
-/// Time in queues for routes without a target latency.
-const DEFAULT_QUEUE_TIME: Duration = Duration::from_millis(200);
+/// The fraction of the route's target latency that a request may spend in queues.
+const QUEUE_TIME_FRACTION: f64 = 0.2;
+/// The fraction of its remaining time that a nested call may spend in queues.
+const NESTED_QUEUE_TIME_FRACTION: f64 = 0.5;
+/// The longest time that a request may spend in queues if its route has no target latency.
+const DEFAULT_MAX_QUEUE_TIME: Duration = Duration::from_millis(200);
 
-/// An attempt on its way, with the server it went to.
-type Sending<'a> = Pin<Box<dyn Future<Output = (ServerInstance, AttemptOutcome)> + 'a>>;
+/// An attempt that is in flight; resolves to its server and its outcome.
+type PendingAttempt<'a> = Pin<Box<dyn Future<Output = (ServerInstance, AttemptOutcome)> + 'a>>;
 
-/// Sends attempts until one is answered or none is left. An attempt whose server
-/// falls silent is not given up: if its node doesn't answer either, another runs
-/// beside it.
-pub(super) async fn attempts(
+/// Sends attempts until one is answered or no further one is possible. An attempt whose server
+/// falls silent is not cancelled: if the server's node does not answer a probe, or has no such
+/// attempt, a second attempt is sent in parallel (a hedge).
+pub(super) async fn run_attempts(
     node: &Rc<Node>,
     request: &mut RoutedRequest,
     mut call: Call,
 ) -> (&'static str, Response<ProxyBody>) {
     let ends = node.clock.instant(call.ends()).into();
-    let mut sending: FuturesUnordered<Sending> = FuturesUnordered::new();
+    let mut pending: FuturesUnordered<PendingAttempt> = FuturesUnordered::new();
     let mut reuse = Reuse::Any;
     permission::settled(node, &request.content).await;
-    let mut watched = match start(node, request, &mut call, reuse, &mut sending) {
-        Ok(watched) => watched,
+    let mut watch = match start_attempt(node, request, &mut call, reuse, &mut pending) {
+        Ok(watch) => watch,
         Err(answer) => return finish(node, request, answer),
     };
     loop {
         let next = tokio::select! {
             biased;
-            Some((server, outcome)) = sending.next() => {
+            Some((server, outcome)) = pending.next() => {
                 if let Some(response) = outcome.response {
                     return ("answered", response);
                 }
-                note_failure(node, &server, &outcome.end);
-                note_crash(node, request, &server, &outcome.end);
+                record_failure(node, &server, &outcome.end);
+                record_crash(node, request, &server, &outcome.end);
                 log_attempt(node, request, &server, &outcome.end);
-                let is_other_in_progress = !sending.is_empty();
+                let is_other_in_progress = !pending.is_empty();
                 call.attempt_ended(&server.id, &outcome.end, is_other_in_progress, || may_repeat(node, request))
             }
             _ = sleep_until(ends) => NextStep::Finish(call.timed_out(true)),
-            finding = watched.look(node, node.names.request_id_of(&request.head.headers)) => {
-                let is_lost = finding != Finding::InProgress;
-                let may_hedge = is_lost
-                    && sending.len() == 1
+            finding = watch.check_progress(node, node.names.request_id_of(&request.head.headers)) => {
+                let is_unresponsive = finding != Finding::InProgress;
+                let may_hedge = is_unresponsive
+                    && pending.len() == 1
                     && call.may_hedge()
                     && !request.body.is_spent()
-                    && crashes(node, request) == 0;
-                if !may_hedge || !pay_for_hedge(node, request) {
+                    && crash_count(node, request) == 0;
+                if !may_hedge || !withdraw_hedge(node, request) {
                     continue;
                 }
-                if finding == Finding::ConnectionLost {
-                    // What struck this connection may have struck all that were open.
+                if finding == Finding::ConnectionSilent {
+                    // The fault that silenced this connection may affect all open connections.
                     reuse = Reuse::New;
                 }
-                call.hedge(&watched.server.id);
+                call.hedge(&watch.server.id);
                 NextStep::Attempt
             }
         };
@@ -97,12 +98,12 @@
             NextStep::Attempt if request.body.is_spent() => call.give_up(),
             NextStep::Attempt => {
                 permission::settled(node, &request.content).await;
-                match start(node, request, &mut call, reuse, &mut sending) {
-                    Ok(started) => {
-                        watched = started;
+                match start_attempt(node, request, &mut call, reuse, &mut pending) {
+                    Ok(next_watch) => {
+                        watch = next_watch;
                         continue;
                     }
-                    Err(_) if !sending.is_empty() => continue,
+                    Err(_) if !pending.is_empty() => continue,
                     Err(answer) => answer,
                 }
             }
@@ -111,33 +112,35 @@
     }
 }
 
-/// What is found of an attempt whose answer is late.
+/// What a check of an attempt whose answer is late found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Finding {
-    /// It may still be answered.
+    /// The attempt may still be answered.
     InProgress,
-    /// Its server loses answers, or doesn't answer.
-    ServerLost,
-    /// Its connection is silent.
-    ConnectionLost,
+    /// The attempt's server loses answers, or the server or its node does not respond.
+    ServerUnresponsive,
+    /// The connection that the attempt was sent on is silent.
+    ConnectionSilent,
 }
 
-/// Watches whether a server that has an attempt falls silent.
-struct Watched {
+/// Checks an attempt in flight for a server or connection that has fallen silent.
+struct AttemptWatch {
     server: ServerInstance,
     sent: Timestamp,
-    check: Timestamp,
+    /// When the attempt is checked next.
+    next_check: Timestamp,
+    /// How long the server may be silent before the attempt is checked.
     silence: Duration,
     is_nested: bool,
     has_answer_begun: Rc<Cell<bool>>,
 }
 
-impl Watched {
-    /// Resolves when it is time to look. An attempt is lost if its server loses
-    /// answers, or has answered nothing since it was sent and its node doesn't answer a
-    /// probe, or has no such attempt.
-    async fn look(&mut self, node: &Rc<Node>, request_id: &str) -> Finding {
-        sleep_until(node.clock.instant(self.check).into()).await;
+impl AttemptWatch {
+    /// Waits until the next check is due and runs it. An attempt counts as lost if its server loses
+    /// answers, or if the server has answered nothing since the attempt was sent and the server's
+    /// node does not answer a probe or has no such attempt.
+    async fn check_progress(&mut self, node: &Rc<Node>, request_id: &str) -> Finding {
+        sleep_until(node.clock.instant(self.next_check).into()).await;
         let now = node.now();
         let (loses_answers, is_quiet) = {
             let state = node.state.borrow();
@@ -146,14 +149,14 @@
             (state.servers.loses_answers(now, id), is_quiet)
         };
         if loses_answers {
-            self.check = now + self.silence;
-            return Finding::ServerLost;
+            self.next_check = now + self.silence;
+            return Finding::ServerUnresponsive;
         }
         let finding = match is_quiet {
             true => self.probe(node, request_id).await,
             false => Finding::InProgress,
         };
-        self.check = node.now() + self.silence;
+        self.next_check = node.now() + self.silence;
         finding
     }
 
@@ -162,7 +165,7 @@
             Liveness::Alive => Finding::InProgress,
             Liveness::Silent => {
                 probe::set_aside(node, &self.server, "silent");
-                Finding::ServerLost
+                Finding::ServerUnresponsive
             }
             Liveness::AttemptNotThere if self.has_answer_begun.get() => Finding::InProgress,
             Liveness::AttemptNotThere => {
@@ -170,20 +173,25 @@
                 info!(node.log, "connection silent"; "request" => request_id,
                     "server" => self.server.id.as_str(), "node" => %address);
                 node.peer_connections.close_idle(address);
-                Finding::ConnectionLost
+                Finding::ConnectionSilent
             }
         }
     }
 }
 
-/// Starts an attempt at the server that suits best.
-fn start<'a>(
+/// Starts an attempt at the server that is chosen for it, and returns the watch of that attempt.
+///
+/// # Errors
+///
+/// No attempt is possible: the request is out of time or blocked, no server can take it, or its
+/// body can't be sent again.
+fn start_attempt<'a>(
     node: &'a Rc<Node>,
     request: &mut RoutedRequest,
     call: &mut Call,
     reuse: Reuse,
-    sending: &mut FuturesUnordered<Sending<'a>>,
-) -> Result<Watched, FinalAnswer> {
+    pending: &mut FuturesUnordered<PendingAttempt<'a>>,
+) -> Result<AttemptWatch, FinalAnswer> {
     let sent = node.now();
     if sent >= call.ends() {
         return Err(call.timed_out(false));
@@ -206,7 +214,7 @@
         state.servers.sent(sent, &server.id);
         state.servers.silence(&server.id, request.tree.is_nested)
     };
-    let in_flight = InFlight {
+    let in_flight = InFlightGuard {
         node,
         server: server.clone(),
     };
@@ -219,7 +227,7 @@
             is_repeat: request.tree.is_repeat || call.is_repeat(),
             ..request.tree
         },
-        patience: queue_patience(request, sent, call.ends()),
+        patience: max_queue_time(request, sent, call.ends()),
         terms: Terms {
             zone: node.settings.zone.clone(),
             may_go_elsewhere: choice.has_alternative && call.may_be_turned_away(),
@@ -231,30 +239,30 @@
     };
     let has_answer_begun = attempt.has_answer_begun.clone();
     let pause = call.pause_before(&server.id);
-    sending.push(Box::pin(async move {
+    pending.push(Box::pin(async move {
         if !pause.is_zero() {
             sleep(pause).await;
         }
-        let outcome = send(node, &in_flight.server, attempt).await;
+        let outcome = send_attempt(node, &in_flight.server, attempt).await;
         (in_flight.server.clone(), outcome)
     }));
-    Ok(Watched {
+    Ok(AttemptWatch {
         server,
         sent,
-        check: sent + silence,
+        next_check: sent + silence,
         silence,
         is_nested: request.tree.is_nested,
         has_answer_begun,
     })
 }
 
-/// Counts an attempt as in flight while it lives.
-struct InFlight<'a> {
+/// Counts an attempt as in flight at its server until dropped.
+struct InFlightGuard<'a> {
     node: &'a Rc<Node>,
     server: ServerInstance,
 }
 
-impl Drop for InFlight<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         let mut state = self.node.state.borrow_mut();
         state.servers.ended(&self.server.id);
@@ -290,8 +298,8 @@
         })
 }
 
-/// The crashes that the request's content was aboard of.
-fn crashes(node: &Rc<Node>, request: &RoutedRequest) -> usize {
+/// The number of server crashes during which a request with the same content was running.
+fn crash_count(node: &Rc<Node>, request: &RoutedRequest) -> usize {
     node.state
         .borrow()
         .suspects
@@ -300,14 +308,21 @@
 
 /// Whether another attempt may be sent although a server may have run the request.
 ///
-/// One that was aboard of two crashes is not sent again by us: if it is the cause, its
-/// third run proves that, and should be its caller's next try and not one of many repeats.
+/// A request that was running during two crashes is not repeated by this node: if it is the cause,
+/// its third run proves that, and that run should be its caller's next try rather than one of many
+/// repeats.
 fn may_repeat(node: &Rc<Node>, request: &RoutedRequest) -> bool {
-    crashes(node, request) + 1 < PROOF && pay_for_repeat(node, request)
+    crash_count(node, request) + 1 < PROOF && withdraw_repeat(node, request)
 }
 
-/// A crash under this request speaks against its content, at this node at once.
-fn note_crash(node: &Rc<Node>, request: &RoutedRequest, server: &ServerInstance, end: &AttemptEnd) {
+/// Records at this node, without waiting for a report, that the server crashed while it ran this
+/// request's content.
+fn record_crash(
+    node: &Rc<Node>,
+    request: &RoutedRequest,
+    server: &ServerInstance,
+    end: &AttemptEnd,
+) {
     let crashed = AttemptEnd::Unknown {
         reason: UnknownReason::ServerCrashed,
     };
@@ -316,15 +331,15 @@
     }
 }
 
-fn pay_for_repeat(node: &Rc<Node>, request: &RoutedRequest) -> bool {
-    pay(node, request, RetryBudgets::withdraw)
+fn withdraw_repeat(node: &Rc<Node>, request: &RoutedRequest) -> bool {
+    withdraw_from_budget(node, request, RetryBudgets::withdraw)
 }
 
-fn pay_for_hedge(node: &Rc<Node>, request: &RoutedRequest) -> bool {
-    pay(node, request, RetryBudgets::withdraw_for_hedge)
+fn withdraw_hedge(node: &Rc<Node>, request: &RoutedRequest) -> bool {
+    withdraw_from_budget(node, request, RetryBudgets::withdraw_for_hedge)
 }
 
-fn pay(
+fn withdraw_from_budget(
     node: &Rc<Node>,
     request: &RoutedRequest,
     withdraw: impl FnOnce(&mut RetryBudgets, Timestamp, &str, Repeated) -> bool,
@@ -335,24 +350,28 @@
         false => Repeated::Request,
     };
     let mut state = node.state.borrow_mut();
-    let paid = withdraw(&mut state.budgets, now, &request.route.service, repeated);
-    if paid {
+    let is_withdrawn = withdraw(&mut state.budgets, now, &request.route.service, repeated);
+    if is_withdrawn {
         node.metrics.repeats.inc();
     }
-    paid
+    is_withdrawn
 }
 
-fn queue_patience(request: &RoutedRequest, now: Timestamp, ends: Timestamp) -> Duration {
+fn max_queue_time(request: &RoutedRequest, now: Timestamp, ends: Timestamp) -> Duration {
     if request.tree.is_nested {
-        return ends.saturating_since(now).mul_f64(NESTED_QUEUE_SHARE);
+        return ends
+            .saturating_since(now)
+            .mul_f64(NESTED_QUEUE_TIME_FRACTION);
     }
     let target = request.route.route.target_latency;
-    let whole = target.map_or(DEFAULT_QUEUE_TIME, |target| target.mul_f64(QUEUE_SHARE));
-    whole.saturating_sub(now.saturating_since(request.arrived))
+    let allowed = target.map_or(DEFAULT_MAX_QUEUE_TIME, |target| {
+        target.mul_f64(QUEUE_TIME_FRACTION)
+    });
+    allowed.saturating_sub(now.saturating_since(request.arrived))
 }
 
-/// Takes note of a server that lost an answer, or could not be reached.
-fn note_failure(node: &Rc<Node>, server: &ServerInstance, end: &AttemptEnd) {
+/// Records that a server lost an answer, could not be reached, or is no longer to be used.
+fn record_failure(node: &Rc<Node>, server: &ServerInstance, end: &AttemptEnd) {
     let reason = match end {
         AttemptEnd::Answered => return,
         AttemptEnd::Unknown { .. } => {
--- a/crates/proxy/src/outbound/mod.rs
+++ b/crates/proxy/src/outbound/mod.rs
@@ -1,9 +1,9 @@
-//! Requests of local callers: routed, attempted, answered.
+//! Routes, sends and answers the requests of local callers.
 //!
-//! - [`request`]: what a request is, where it goes, where it stands in its tree;
-//! - [`attempts`]: attempts one after the other, or beside a silent server;
-//! - [`send`]: one attempt, to the server beside this node or to another node;
-//! - [`answer`]: what the caller is told when no server's answer is passed on.
+//! - [`request`]: finds a request's route and its place in the call tree, and reads its body;
+//! - [`attempts`]: sends attempts one after another, or in parallel if a server is silent;
+//! - [`send`]: sends one attempt to the server beside this node or to another node;
+//! - [`answer`]: answers the caller when no server's answer is forwarded.
 
 mod answer;
 mod attempts;
@@ -31,19 +31,19 @@
 use crate::tenants::tokens::{self, NoToken};
 use crate::{peer_headers, request_content};
 use answer::{REFUSED, final_response, finish, log_unrouted, status};
-use attempts::attempts;
-use request::{HeldBody, RoutedRequest, find_route, read_body, tree_place};
+use attempts::run_attempts;
+use request::{RequestBody, RoutedRequest, find_route, place_in_tree, read_body};
 
-/// When callers may come back before there is a configuration.
-const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// Callers whose key this node's view is too old to judge may come back after this time: nodes
+/// Time after which callers may retry while this node has no configuration yet.
+const NOT_CONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Time after which callers may retry if this node's view is too old to check their key: nodes
 /// ask for a fresh view several times a second.
-const OLD_VIEW_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// Callers refused for overload are asked to come back after this time, at the
-/// earliest; at the latest after twice as long.
+const VIEW_TOO_OLD_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// The shortest time after which callers refused for overload are asked to retry. The time they are
+/// told is drawn between once and twice this.
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// The port for local callers.
+/// Handler of the port that local callers connect to.
 pub struct Outbound(pub Rc<Node>);
 
 impl Handler for Outbound {
@@ -100,7 +100,7 @@
         Err(_) => {
             log_unrouted(node, &head, "not-configured");
             let refusal = FinalAnswer::Refused {
-                retry_after: UNCONFIGURED_RETRY_AFTER,
+                retry_after: NOT_CONFIGURED_RETRY_AFTER,
                 reason: RefusalReason::NotConfigured,
             };
             return ("not-configured", final_response(node, refusal));
@@ -112,7 +112,7 @@
     };
     let patience = peer_headers::milliseconds(&head.headers, &node.names.deadline_ms);
     let call = Call::new(arrived, &route.route, patience);
-    let (tree, mut call_of_run) = tree_place(node, &head, &route, tenant.as_deref(), &call);
+    let (tree, mut nested_call) = place_in_tree(node, &head, &route, tenant.as_deref(), &call);
     let body = match incoming {
         None => ProxyBody::empty(),
         Some(incoming) => match read_body(node, &call, incoming).await {
@@ -126,7 +126,7 @@
     let content = request_content::caller_content(&node.settings.service, &head, &body);
     let mut request = RoutedRequest {
         head,
-        body: HeldBody::from(body),
+        body: RequestBody::from(body),
         content,
         route,
         tenant,
@@ -134,13 +134,14 @@
         arrived,
     };
     let answer = admit_and_attempt(node, &mut request, call).await;
-    if let Some(call_of_run) = &mut call_of_run {
-        call_of_run.answered(answer.1.status());
+    if let Some(nested_call) = &mut nested_call {
+        nested_call.answered(answer.1.status());
     }
     answer
 }
 
-/// The answer to a request that needs a key and hasn't one that is known to be good.
+/// Returns the outcome label and the response for a request that needs a key but carries none that
+/// is known to be valid.
 fn deny(node: &Rc<Node>, head: &Parts, denial: Denial) -> (&'static str, Response<ProxyBody>) {
     let word = match denial {
         Denial::NoKey => "no-key",
@@ -153,7 +154,7 @@
         Denial::ViewTooOld => final_response(
             node,
             FinalAnswer::Refused {
-                retry_after: OLD_VIEW_RETRY_AFTER,
+                retry_after: VIEW_TOO_OLD_RETRY_AFTER,
                 reason: RefusalReason::ViewTooOld,
             },
         ),
@@ -161,8 +162,8 @@
     (word, response)
 }
 
-/// Sends attempts, unless the request would be refused further down or its tenant is at its
-/// limit.
+/// Sends the attempts of a request, unless the servers of its service would refuse it for overload
+/// or its tenant is at its rate limit.
 async fn admit_and_attempt(
     node: &Rc<Node>,
     request: &mut RoutedRequest,
@@ -172,19 +173,19 @@
         return finish(node, request, refusal);
     }
     let Some(tenant) = request.tenant.clone() else {
-        return attempts(node, request, call).await;
+        return run_attempts(node, request, call).await;
     };
     if let Err(no_token) = tokens::take(node, &tenant).await {
-        return finish(node, request, over_limit(no_token));
+        return finish(node, request, tenant_refusal(no_token));
     }
-    let answer = attempts(node, request, call).await;
+    let answer = run_attempts(node, request, call).await;
     if answer.0 == REFUSED {
         tokens::give_back(node, &tenant);
     }
     answer
 }
 
-fn over_limit(no_token: NoToken) -> FinalAnswer {
+fn tenant_refusal(no_token: NoToken) -> FinalAnswer {
     let (reason, retry_after) = match no_token {
         NoToken::OverLimit(time) => (RefusalReason::OverLimit, time),
         NoToken::Unanswered(time) => (RefusalReason::NoLender, time),
@@ -195,8 +196,8 @@
     }
 }
 
-/// A new request that would be refused further down is refused before any work
-/// is done for it.
+/// Refuses a new request whose priority the servers of its service don't admit now, before any work
+/// is done for it. Nested calls are never refused here.
 fn refuse_overload(node: &Rc<Node>, request: &RoutedRequest) -> Option<FinalAnswer> {
     if request.tree.is_nested {
         return None;
--- a/crates/proxy/src/outbound/request.rs
+++ b/crates/proxy/src/outbound/request.rs
@@ -1,4 +1,4 @@
-//! A request of a caller: its route, its body, its place in the tree of calls.
+//! A caller's request: its route, its body and its place in the call tree.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,91 +21,94 @@
 use crate::node::Node;
 use crate::peer_headers::{self, TreePlace};
 
-/// Bodies up to this size are taken in whole, so that they can be sent again.
-const MAX_HELD_REQUEST: usize = 256 * 1024;
-/// Size of a body unless the configuration says otherwise, bytes.
-const MAX_BODY_BYTES: u64 = 64 * 1024 * 1024;
+/// Request bodies up to this size, in bytes, are buffered whole, so that they can be sent again.
+const MAX_BUFFERED_REQUEST_BYTES: usize = 256 * 1024;
+/// The largest request body that is accepted, in bytes, unless the configuration sets a limit.
+const DEFAULT_MAX_BODY_BYTES: u64 = 64 * 1024 * 1024;
 
 /// A request whose route is known.
 pub(super) struct RoutedRequest {
     pub(super) head: Parts,
-    pub(super) body: HeldBody,
-    /// What it asks of a server.
+    pub(super) body: RequestBody,
+    /// Fingerprint of the request's content, with the calling service.
     pub(super) content: CallerContent,
-    pub(super) route: Rc<RouteInForce>,
-    /// Whose it is; none if it needs no key.
+    pub(super) route: Rc<ChosenRoute>,
+    /// The tenant that the request belongs to; none if the request needs no key.
     pub(super) tenant: Option<Arc<Tenant>>,
     pub(super) tree: TreePlace,
     pub(super) arrived: Timestamp,
 }
 
-pub(super) struct RouteInForce {
+/// The route of a request, with the service chosen for it and the version of the configuration that
+/// defines the route.
+pub(super) struct ChosenRoute {
     pub(super) route: Arc<Route>,
     pub(super) version: u64,
     pub(super) service: String,
 }
 
-/// A request's body; one that is too large to be held can be sent once.
-pub(super) enum HeldBody {
+/// A request's body. One that is too large to be buffered whole can be sent only once.
+pub(super) enum RequestBody {
     Whole(Bytes),
     Once(Option<ProxyBody>),
 }
 
-impl From<ProxyBody> for HeldBody {
+impl From<ProxyBody> for RequestBody {
     fn from(body: ProxyBody) -> Self {
         match body {
-            ProxyBody::Whole(bytes) => HeldBody::Whole(bytes),
-            passing @ ProxyBody::Passing { .. } => HeldBody::Once(Some(passing)),
+            ProxyBody::Whole(bytes) => RequestBody::Whole(bytes),
+            passing @ ProxyBody::Passing { .. } => RequestBody::Once(Some(passing)),
         }
     }
 }
 
-impl HeldBody {
+impl RequestBody {
     pub(super) fn take(&mut self) -> Option<ProxyBody> {
         match self {
-            HeldBody::Whole(bytes) => Some(ProxyBody::Whole(bytes.clone())),
-            HeldBody::Once(body) => body.take(),
+            RequestBody::Whole(bytes) => Some(ProxyBody::Whole(bytes.clone())),
+            RequestBody::Once(body) => body.take(),
         }
     }
 
     pub(super) fn is_spent(&self) -> bool {
-        matches!(self, HeldBody::Once(None))
+        matches!(self, RequestBody::Once(None))
     }
 }
 
-/// A call of a run on the server beside this node, while it is on its way.
-pub(super) struct CallOfRun {
+/// A nested call in progress, made by a run on the server beside this node. Dropping it reports the
+/// end of the call.
+pub(super) struct NestedCall {
     node: Rc<Node>,
     run: InboundId,
     has_failed: bool,
 }
 
-impl CallOfRun {
-    /// The call was answered with `status`.
+impl NestedCall {
+    /// Records the status that the call was answered with.
     pub(super) fn answered(&mut self, status: StatusCode) {
         self.has_failed = status.is_server_error();
     }
 }
 
-impl Drop for CallOfRun {
+impl Drop for NestedCall {
     fn drop(&mut self) {
         let mut state = self.node.state.borrow_mut();
         state.admission.call_ended(self.run, self.has_failed);
     }
 }
 
-/// Where the request stands: its own tree's root, or a call of a run on the
+/// Places a request in the call tree: as the root of a new tree, or as a nested call of a run on the
 /// server beside this node.
-pub(super) fn tree_place(
+pub(super) fn place_in_tree(
     node: &Rc<Node>,
     head: &Parts,
-    route: &RouteInForce,
+    route: &ChosenRoute,
     tenant: Option<&Tenant>,
     call: &Call,
-) -> (TreePlace, Option<CallOfRun>) {
+) -> (TreePlace, Option<NestedCall>) {
     let id = node.names.request_id_of(&head.headers);
-    let told = peer_headers::milliseconds(&head.headers, &node.names.deadline_ms);
-    let deadline = told.map_or(call.ends(), |told| node.now() + told);
+    let time_left = peer_headers::milliseconds(&head.headers, &node.names.deadline_ms);
+    let deadline = time_left.map_or(call.ends(), |time_left| node.now() + time_left);
     let mut state = node.state.borrow_mut();
     match state.admission.parent_of(id, deadline) {
         Some(parent) => {
@@ -115,12 +118,12 @@
                 is_nested: true,
                 is_repeat: parent.is_repeat,
             };
-            let call = CallOfRun {
+            let nested_call = NestedCall {
                 node: node.clone(),
                 run: parent.run,
                 has_failed: true,
             };
-            (place, Some(call))
+            (place, Some(nested_call))
         }
         None => {
             let rank = RequestRank {
@@ -137,7 +140,7 @@
     }
 }
 
-pub(super) fn find_route(node: &Rc<Node>, head: &Parts) -> Result<RouteInForce, StatusCode> {
+pub(super) fn find_route(node: &Rc<Node>, head: &Parts) -> Result<ChosenRoute, StatusCode> {
     let mut state = node.state.borrow_mut();
     let state = &mut *state;
     let routes = state
@@ -148,7 +151,7 @@
         .find(host(&head.headers, &head.uri), head.uri.path())
         .ok_or(StatusCode::NOT_FOUND)?;
     let service = state.split.choose(route, &mut state.random).to_owned();
-    Ok(RouteInForce {
+    Ok(ChosenRoute {
         route: route.clone(),
         version: routes.version(),
         service,
@@ -166,7 +169,7 @@
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
     let ends = node.clock.instant(call.ends()).into();
-    let read = timeout_at(ends, body::read(incoming, MAX_HELD_REQUEST))
+    let read = timeout_at(ends, body::read(incoming, MAX_BUFFERED_REQUEST_BYTES))
         .await
         .map_err(|_| StatusCode::REQUEST_TIMEOUT)?
         .map_err(|_| StatusCode::BAD_REQUEST)?;
@@ -179,5 +182,5 @@
     let configuration = snapshot.configuration.as_ref();
     configuration
         .and_then(|known| known.limits.max_body_bytes)
-        .unwrap_or(MAX_BODY_BYTES)
+        .unwrap_or(DEFAULT_MAX_BODY_BYTES)
 }
--- a/crates/proxy/src/outbound/send.rs
+++ b/crates/proxy/src/outbound/send.rs
@@ -1,4 +1,4 @@
-//! One attempt: to the server beside this node, or to the node beside another.
+//! Sends one attempt: to the server beside this node, or to the node beside another server.
 
 use std::rc::Rc;
 
@@ -17,10 +17,11 @@
 use crate::outbound::request::RoutedRequest;
 use crate::{peer_headers, snapshots};
 
-/// Answers of other nodes up to this size are taken in whole.
-const MAX_HELD_ANSWER: usize = 256 * 1024;
+/// Answers of other nodes up to this size, in bytes, are buffered whole.
+const MAX_BUFFERED_ANSWER_BYTES: usize = 256 * 1024;
 
-/// The request as it goes to a server.
+/// Builds the request that is sent to a server: the caller's request with `body`, and with headers
+/// that name the calling service, the tenant and the server instance that is meant.
 pub(super) fn outgoing_request(
     node: &Rc<Node>,
     request: &RoutedRequest,
@@ -51,8 +52,8 @@
     outgoing
 }
 
-/// Sends an attempt and takes note of what its answer tells of the server.
-pub(super) async fn send(
+/// Sends an attempt, and records what the answer reports about the server.
+pub(super) async fn send_attempt(
     node: &Rc<Node>,
     server: &ServerInstance,
     attempt: Attempt,
@@ -62,11 +63,11 @@
     let is_nested = attempt.tree.is_nested;
     let (outcome, report) = if is_beside {
         let outcome = inbound::execute(node, attempt).await;
-        (outcome, own_report(node, is_nested))
+        (outcome, own_server_report(node, is_nested))
     } else {
         send_to_node(node, server, attempt).await
     };
-    note_notice(node, server, &outcome.end, report.notice);
+    record_notice(node, server, &outcome.end, report.notice);
     let load = report.load;
     if outcome.end == AttemptEnd::Answered {
         let now = node.now();
@@ -82,25 +83,25 @@
     outcome
 }
 
-/// What a server's node tells of it with the end of an attempt.
+/// What a server's node reports about the server when an attempt ends.
 #[derive(Clone, Copy, Debug, Default)]
-struct Report {
+struct ServerReport {
     load: Option<ReportedLoad>,
     notice: Option<ServerNotice>,
 }
 
-fn own_report(node: &Rc<Node>, is_nested: bool) -> Report {
+fn own_server_report(node: &Rc<Node>, is_nested: bool) -> ServerReport {
     let load = node.own_load(is_nested, &node.settings.zone);
     let notice = node.state.borrow().admission.notice();
-    Report {
+    ServerReport {
         load: Some(load),
         notice: (notice != ServerNotice::default()).then_some(notice),
     }
 }
 
-/// Takes note of what the server says of itself. Only an answer of its own says that it takes
-/// any number of requests: its node may have started anew, and not know.
-fn note_notice(
+/// Records the notice of a server. A missing notice means that the server names no limit only if
+/// the server itself answered: otherwise its node may have restarted and not know the limit yet.
+fn record_notice(
     node: &Rc<Node>,
     server: &ServerInstance,
     end: &AttemptEnd,
@@ -128,7 +129,7 @@
     node: &Rc<Node>,
     server: &ServerInstance,
     mut attempt: Attempt,
-) -> (AttemptOutcome, Report) {
+) -> (AttemptOutcome, ServerReport) {
     let address = node.node_beside(server);
     let has_answer_begun = attempt.has_answer_begun.clone();
     let asked = node.now();
@@ -152,23 +153,23 @@
         Ok(answered) => answered,
         Err(SendError::NotSent(_)) => {
             let outcome = AttemptOutcome::not_run(NotRunReason::NodeUnreachable);
-            return (outcome, Report::default());
+            return (outcome, ServerReport::default());
         }
         Err(SendError::Lost(_)) => {
             let outcome = AttemptOutcome::unknown(UnknownReason::AnswerLost);
-            return (outcome, Report::default());
+            return (outcome, ServerReport::default());
         }
     };
     has_answer_begun.set(true);
     let (mut head, incoming) = response.into_parts();
     snapshots::note_snapshot(node, &head.headers, address);
     snapshots::note_view(node, &head.headers, asked);
-    let report = Report {
+    let report = ServerReport {
         load: peer_headers::load(&head.headers),
         notice: peer_headers::server_notice(&head.headers),
     };
     let end = peer_headers::outcome(&head.headers);
-    let body = match body::read(incoming, MAX_HELD_ANSWER).await {
+    let body = match body::read(incoming, MAX_BUFFERED_ANSWER_BYTES).await {
         Err(_) => return (AttemptOutcome::unknown(UnknownReason::AnswerLost), report),
         Ok(ReadBody::Whole(bytes)) => {
             lease.keep();
