--- a/crates/proxy/src/outbound/attempts.rs
+++ b/crates/proxy/src/outbound/attempts.rs
@@ -39,7 +39,7 @@
 /// The fraction of its remaining time that a nested call may spend in queues.
 const NESTED_QUEUE_TIME_FRACTION: f64 = 0.5;
 /// The longest time that a request may spend in queues if its route has no target latency.
-const DEFAULT_MAX_QUEUE_TIME: Duration = Duration::from_millis(200);
+const DEFAULT_QUEUE_TIME: Duration = Duration::from_millis(200);
 
 /// An attempt that is in flight; resolves to its server and its outcome.
 type PendingAttempt<'a> = Pin<Box<dyn Future<Output = (ServerInstance, AttemptOutcome)> + 'a>>;
@@ -364,7 +364,7 @@
             .mul_f64(NESTED_QUEUE_TIME_FRACTION);
     }
     let target = request.route.route.target_latency;
-    let allowed = target.map_or(DEFAULT_MAX_QUEUE_TIME, |target| {
+    let allowed = target.map_or(DEFAULT_QUEUE_TIME, |target| {
         target.mul_f64(QUEUE_TIME_FRACTION)
     });
     allowed.saturating_sub(now.saturating_since(request.arrived))
