--- a/crates/proxy/src/inbound/crash_detector.rs
+++ b/crates/proxy/src/inbound/crash_detector.rs
@@ -135,7 +135,7 @@
     node.metrics.server_crashes.inc();
     info!(node.log, "server crashed"; "server" => server.as_str(), "runs" => contents.len(),
         "contents" => join_contents(&contents), "revision" => %node.revision());
-    suspects::note_own_crash(node, server, &contents);
+    suspects::record_own_crash(node, server, &contents);
 }
 
 fn join_contents(contents: &[CallerContent]) -> String {
--- a/crates/proxy/src/inbound/mod.rs
+++ b/crates/proxy/src/inbound/mod.rs
@@ -162,7 +162,7 @@
     if let Some(refused) = refusal(node, &attempt) {
         return refused;
     }
-    permission::settled(node, &attempt.content).await;
+    permission::wait_until_settled(node, &attempt.content).await;
     if let Some(refused) = refuse_server_crashing(node, &attempt) {
         return refused;
     }
@@ -190,7 +190,7 @@
 /// Refuses an attempt whose content crashes servers. Checked right before the attempt runs, since
 /// other nodes may report crashes while it waits.
 fn refuse_server_crashing(node: &Rc<Node>, attempt: &Attempt) -> Option<AttemptOutcome> {
-    let time = permission::refused_for(node, &attempt.server, &attempt.content)?;
+    let time = permission::refuse_or_begin_trial(node, &attempt.server, &attempt.content)?;
     Some(AttemptOutcome {
         end: AttemptEnd::NotRun {
             offered: false,
--- a/crates/proxy/src/node/mod.rs
+++ b/crates/proxy/src/node/mod.rs
@@ -40,7 +40,7 @@
 use crate::metrics::Metrics;
 use crate::network::{Network, SystemNetwork};
 use crate::settings::ProxySettings;
-use crate::suspects::exchange::Learning;
+use crate::suspects::exchange::ReportExchange;
 use crate::tenants::TenantState;
 use crate::wire_names::WireNames;
 use lifthollow_transport::clock::Clock;
@@ -152,7 +152,7 @@
     /// What was logged of what the server beside this node says of itself.
     pub notice_log: NoticeLog,
     /// How far this node is with learning which requests crash servers.
-    pub learning: Learning,
+    pub report_exchange: ReportExchange,
     /// Counters.
     pub metrics: Rc<Metrics>,
     /// The log.
@@ -218,7 +218,7 @@
             attempts_in_progress: AttemptsInProgress::default(),
             crash_detector: CrashDetector::default(),
             notice_log: NoticeLog::default(),
-            learning: Learning::default(),
+            report_exchange: ReportExchange::default(),
             metrics,
             log,
             line_limit: LineLimit::default(),
--- a/crates/proxy/src/outbound/attempts.rs
+++ b/crates/proxy/src/outbound/attempts.rs
@@ -55,7 +55,7 @@
     let ends = node.clock.instant(call.ends()).into();
     let mut pending: FuturesUnordered<PendingAttempt> = FuturesUnordered::new();
     let mut reuse = Reuse::Any;
-    permission::settled(node, &request.content).await;
+    permission::wait_until_settled(node, &request.content).await;
     let mut watch = match start_attempt(node, request, &mut call, reuse, &mut pending) {
         Ok(watch) => watch,
         Err(answer) => return finish(node, request, answer),
@@ -97,7 +97,7 @@
             NextStep::Finish(answer) => answer,
             NextStep::Attempt if request.body.is_spent() => call.give_up(),
             NextStep::Attempt => {
-                permission::settled(node, &request.content).await;
+                permission::wait_until_settled(node, &request.content).await;
                 match start_attempt(node, request, &mut call, reuse, &mut pending) {
                     Ok(next_watch) => {
                         watch = next_watch;
@@ -327,7 +327,7 @@
         reason: UnknownReason::ServerCrashed,
     };
     if *end == crashed {
-        suspects::note_crash_of(node, &server.id, &request.content);
+        suspects::record_reported_crash(node, &server.id, &request.content);
     }
 }
 
--- a/crates/proxy/src/outbound/mod.rs
+++ b/crates/proxy/src/outbound/mod.rs
@@ -175,12 +175,12 @@
     let Some(tenant) = request.tenant.clone() else {
         return run_attempts(node, request, call).await;
     };
-    if let Err(no_token) = tokens::take(node, &tenant).await {
+    if let Err(no_token) = tokens::acquire(node, &tenant).await {
         return finish(node, request, tenant_refusal(no_token));
     }
     let answer = run_attempts(node, request, call).await;
     if answer.0 == REFUSED {
-        tokens::give_back(node, &tenant);
+        tokens::return_token(node, &tenant);
     }
     answer
 }
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -188,8 +188,8 @@
         }
         note_gauges(&node);
         note_server_health(&node);
-        suspects::keep_house(&node);
-        tenants::keep_house(&node);
+        suspects::expire_and_update_gauges(&node);
+        tenants::expire_and_update_gauges(&node);
         let mut state = node.state.borrow_mut();
         let now = node.now();
         state.admission.observe(now);
--- a/crates/proxy/src/snapshots/mod.rs
+++ b/crates/proxy/src/snapshots/mod.rs
@@ -74,7 +74,7 @@
 
 fn note_applied(node: &Rc<Node>, from: &str, applied: &[Applied]) {
     log_applied(node, from, applied);
-    exchange::ask_at_start(node);
+    exchange::query_at_start(node);
     asking::tell_newcomers(node);
 }
 
@@ -149,7 +149,7 @@
 pub fn name_snapshot(node: &Rc<Node>, headers: &mut HeaderMap) {
     let version = peer_headers::snapshot_version_value(node.snapshot_version());
     headers.insert(peer_headers::SNAPSHOT_VERSION, version);
-    exchange::name_digest(node, headers);
+    exchange::add_digest_headers(node, headers);
 }
 
 /// Tells another node, with the answer to a question that arrived at `arrived`, which
@@ -166,7 +166,7 @@
 /// Takes note of what another node says of its snapshot, and of what it knows of requests
 /// that crash servers.
 pub fn note_snapshot(node: &Rc<Node>, headers: &HeaderMap, from: SocketAddrV4) {
-    exchange::note_digest(node, headers, from);
+    exchange::fetch_if_digest_differs(node, headers, from);
     let Some(theirs) = peer_headers::snapshot_version(headers) else {
         return;
     };
--- a/crates/proxy/src/suspects/exchange.rs
+++ b/crates/proxy/src/suspects/exchange.rs
@@ -1,9 +1,8 @@
-//! How nodes tell each other which requests may crash servers.
+//! Exchanges reports between nodes about requests that may crash servers.
 //!
-//! Each message between nodes names a digest of what its sender knows, if it knows
-//! anything; a node that knows something else fetches the whole. News of a crash is also
-//! told to a few nodes at once, and by them to others, so that it spreads where no
-//! requests are under way.
+//! Each message between nodes carries a digest of its sender's reports, if it has any; a node
+//! whose digest differs fetches all of them. A new crash is also announced to a few nodes at once,
+//! and by them to others, so that the reports spread even without request traffic.
 
 use std::cell::Cell;
 use std::net::SocketAddrV4;
@@ -23,37 +22,40 @@
 use crate::node::Node;
 use crate::peer_client::{self, FetchError};
 use crate::peer_headers;
-use crate::suspects::{clear_what_runs_well, log_changes};
+use crate::suspects::{clear_served_contents, log_changes};
 
-/// How many nodes are told of a crash at once. Each that hears of it first tells as many
-/// others: of 300 nodes all but some 5% are reached so (1/e³ are not), the rest with their next message.
+/// How many nodes a crash is announced to at once. Each node that learns of it announces it to as
+/// many others: of 300 nodes this reaches all but about 5% (1/e³), the rest with their next
+/// message.
 const FAN_OUT: usize = 3;
-/// The longest time that a node may take to tell what it knows.
-const FETCH_LIMIT: Duration = Duration::from_millis(500);
-/// Time between two fetches that differing digests cause.
+/// Timeout of a fetch of another node's reports.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
+/// The shortest pause between two fetches that are caused by differing digests.
 const FETCH_PAUSE: Duration = Duration::from_millis(20);
-/// What another node knows is not fetched again for this time if it brought nothing:
-/// the nodes forget at different moments.
-const FRUITLESS_PAUSE: Duration = Duration::from_secs(5);
+/// Reports with the same digest are not fetched again for this time if they contained nothing new:
+/// digests differ for a while because nodes forget reports at different moments.
+const UNCHANGED_FETCH_PAUSE: Duration = Duration::from_secs(5);
 
-/// How often a node that starts asks a few others, until one of them answers. Many may
-/// start at the same time.
-const ASKED_AT_START: usize = 10;
-/// Time between these questions.
-const START_PAUSE: Duration = Duration::from_millis(300);
+/// How often a starting node queries a few other nodes, until one of them answers. More than one
+/// round is needed because many nodes may start at the same time.
+const START_QUERY_ROUNDS: usize = 10;
+/// Pause between two rounds of queries by a starting node.
+const START_QUERY_PAUSE: Duration = Duration::from_millis(300);
 
-/// How far this node is with learning from others.
+/// The state of this node's exchange of reports with other nodes.
 #[derive(Default)]
-pub struct Learning {
+pub struct ReportExchange {
+    /// Whether reports are being fetched because of a differing digest.
     is_fetching: Cell<bool>,
-    has_asked_at_start: Cell<bool>,
-    /// A digest that brought nothing new, and when.
-    fruitless: Cell<Option<(u64, Timestamp)>>,
+    /// Whether this node has begun to query other nodes after its start.
+    has_queried_at_start: Cell<bool>,
+    /// The digest whose reports last contained nothing new, and when they were fetched.
+    unchanged_fetch: Cell<Option<(u64, Timestamp)>>,
 }
 
-/// Names to another node what this one knows, if it knows anything, and where to ask
-/// for it.
-pub(crate) fn name_digest(node: &Rc<Node>, headers: &mut HeaderMap) {
+/// Adds to a message's headers the digest of this node's reports, if it has any, and the address to
+/// fetch them from.
+pub(crate) fn add_digest_headers(node: &Rc<Node>, headers: &mut HeaderMap) {
     headers.insert(peer_headers::NODE, node.own_address.clone());
     let digest = node.state.borrow().suspects.digest();
     if digest != 0 {
@@ -61,118 +63,131 @@
     }
 }
 
-/// Takes note of the digest that the node at `from` names.
-pub(crate) fn note_digest(node: &Rc<Node>, headers: &HeaderMap, from: SocketAddrV4) {
-    let Some(theirs) = peer_headers::number::<u64>(headers, &peer_headers::SUSPECTS) else {
+/// Fetches the reports of the node at `from` if the digest in its headers differs from this node's.
+pub(crate) fn fetch_if_digest_differs(node: &Rc<Node>, headers: &HeaderMap, from: SocketAddrV4) {
+    let Some(their_digest) = peer_headers::number::<u64>(headers, &peer_headers::SUSPECTS) else {
         return;
     };
-    let learning = &node.learning;
-    if theirs == node.state.borrow().suspects.digest() || is_fruitless(node, theirs) {
+    let report_exchange = &node.report_exchange;
+    if their_digest == node.state.borrow().suspects.digest()
+        || is_refetch_too_early(node, their_digest)
+    {
         return;
     }
-    if !learning.is_fetching.replace(true) {
-        tokio::task::spawn_local(learn(node.clone(), theirs, from));
+    if !report_exchange.is_fetching.replace(true) {
+        tokio::task::spawn_local(fetch_reports(node.clone(), their_digest, from));
     }
 }
 
-fn is_fruitless(node: &Rc<Node>, digest: u64) -> bool {
-    let known = node.learning.fruitless.get();
+fn is_refetch_too_early(node: &Rc<Node>, digest: u64) -> bool {
+    let known = node.report_exchange.unchanged_fetch.get();
     known.is_some_and(|(known, at)| {
-        known == digest && node.now().saturating_since(at) < FRUITLESS_PAUSE
+        known == digest && node.now().saturating_since(at) < UNCHANGED_FETCH_PAUSE
     })
 }
 
-async fn learn(node: Rc<Node>, theirs: u64, from: SocketAddrV4) {
+async fn fetch_reports(node: Rc<Node>, their_digest: u64, from: SocketAddrV4) {
     let before = node.state.borrow().suspects.digest();
-    exchange(&node, from).await;
+    fetch_and_merge(&node, from).await;
     let after = node.state.borrow().suspects.digest();
     if after == before {
-        node.learning.fruitless.set(Some((theirs, node.now())));
-    } else if after != theirs {
-        // This node knows of good runs, or of crashes, that the other doesn't.
-        exchange(&node, from).await;
+        node.report_exchange
+            .unchanged_fetch
+            .set(Some((their_digest, node.now())));
+    } else if after != their_digest {
+        // This node knows of successful runs or of crashes that the other node does not.
+        fetch_and_merge(&node, from).await;
     }
     sleep(FETCH_PAUSE).await;
-    node.learning.is_fetching.set(false);
+    node.report_exchange.is_fetching.set(false);
 }
 
-/// Asks another node for what it knows; the question names what this one knows, so that
-/// the other may ask in return. False if it doesn't answer.
-async fn exchange(node: &Rc<Node>, with: SocketAddrV4) -> bool {
-    let asked = node.now();
+/// Fetches another node's reports and merges them. The query carries this node's digest, so that
+/// the other node can fetch in return. Returns false if the other node does not answer.
+async fn fetch_and_merge(node: &Rc<Node>, address: SocketAddrV4) -> bool {
+    let sent_at = node.now();
     let path = peer_headers::SUSPECTS_PATH;
-    let mut named = HeaderMap::new();
-    name_digest(node, &mut named);
-    let fetched: Result<(SuspectReports, HeaderMap), FetchError> =
-        peer_client::ask(node, with, path, named, ProxyBody::empty(), FETCH_LIMIT).await;
+    let mut headers = HeaderMap::new();
+    add_digest_headers(node, &mut headers);
+    let fetched: Result<(SuspectReports, HeaderMap), FetchError> = peer_client::ask(
+        node,
+        address,
+        path,
+        headers,
+        ProxyBody::empty(),
+        FETCH_TIMEOUT,
+    )
+    .await;
     match fetched {
         Ok((reports, _)) => {
-            join(node, with, asked, reports);
+            merge_reports(node, address, sent_at, reports);
             true
         }
         Err(error) => {
-            warn!(node.log, "suspects not fetched"; "from" => %with, "error" => %error);
+            warn!(node.log, "suspects not fetched"; "from" => %address, "error" => %error);
             false
         }
     }
 }
 
-fn join(node: &Rc<Node>, from: SocketAddrV4, asked: Timestamp, reports: SuspectReports) {
+fn merge_reports(node: &Rc<Node>, from: SocketAddrV4, sent_at: Timestamp, reports: SuspectReports) {
     let is_new = {
         let mut state = node.state.borrow_mut();
         let now = node.now();
-        let is_new = state.suspects.join(now, asked, reports);
+        let is_new = state.suspects.join(now, sent_at, reports);
         let known = state.suspects.contents();
-        clear_what_runs_well(&mut state, now, known);
+        clear_served_contents(&mut state, now, known);
         is_new
     };
     log_changes(node, &from.to_string());
     if is_new {
         let (suspected, proven) = node.state.borrow().suspects.counts();
-        info!(node.log, "crashes learned"; "from" => %from, "suspects" => suspected,
+        info!(node.log, "crash reports received"; "from" => %from, "suspects" => suspected,
             "proven" => proven);
-        tell(node);
+        announce(node);
     }
 }
 
-/// The answer to a node that asks what this one knows.
+/// Answers a node that fetches this node's reports.
 pub(crate) fn answer(node: &Rc<Node>) -> Response<ProxyBody> {
     let reports = node.state.borrow().suspects.reports(node.now());
     let bytes = minicbor::to_vec(&reports).expect("writing to memory does not fail");
     let mut response = Response::new(ProxyBody::Whole(bytes.into()));
-    name_digest(node, response.headers_mut());
+    add_digest_headers(node, response.headers_mut());
     response
 }
 
-/// Asks a few nodes what they know, once this node has heard of any: a node that starts
-/// knows nothing, and what crashed servers before still does.
-pub(crate) fn ask_at_start(node: &Rc<Node>) {
-    let knows_others = !drawn_nodes(node).is_empty();
-    if knows_others && !node.learning.has_asked_at_start.replace(true) {
-        tokio::task::spawn_local(ask_until_answered(node.clone()));
+/// Fetches the reports of a few nodes, once after this node's start and as soon as it knows other
+/// nodes: a starting node has no reports, but requests that crashed servers before still do.
+pub(crate) fn query_at_start(node: &Rc<Node>) {
+    let knows_others = !random_other_nodes(node).is_empty();
+    if knows_others && !node.report_exchange.has_queried_at_start.replace(true) {
+        tokio::task::spawn_local(query_until_answered(node.clone()));
     }
 }
 
-async fn ask_until_answered(node: Rc<Node>) {
-    for _ in 0..ASKED_AT_START {
-        let asked = drawn_nodes(&node).into_iter();
-        let asked = asked.map(|other| exchange(&node, other));
-        let answered = join_all(asked).await;
+async fn query_until_answered(node: Rc<Node>) {
+    for _ in 0..START_QUERY_ROUNDS {
+        let queries = random_other_nodes(&node).into_iter();
+        let queries = queries.map(|other| fetch_and_merge(&node, other));
+        let answered = join_all(queries).await;
         if answered.contains(&true) {
             return;
         }
-        sleep(START_PAUSE).await;
+        sleep(START_QUERY_PAUSE).await;
     }
 }
 
-pub(super) fn tell(node: &Rc<Node>) {
-    for other in drawn_nodes(node) {
+/// Announces a change of this node's reports to [`FAN_OUT`] random nodes by querying theirs: the
+/// query carries this node's digest.
+pub(super) fn announce(node: &Rc<Node>) {
+    for other in random_other_nodes(node) {
         let node = node.clone();
-        tokio::task::spawn_local(async move { exchange(&node, other).await });
+        tokio::task::spawn_local(async move { fetch_and_merge(&node, other).await });
     }
 }
 
-fn drawn_nodes(node: &Rc<Node>) -> Vec<SocketAddrV4> {
+fn random_other_nodes(node: &Rc<Node>) -> Vec<SocketAddrV4> {
     let mut state = node.state.borrow_mut();
     let servers = state.snapshots.servers_in_force().into_iter();
     let others = servers.filter(|server| !node.is_beside(server));
--- a/crates/proxy/src/suspects/mod.rs
+++ b/crates/proxy/src/suspects/mod.rs
@@ -1,7 +1,8 @@
-//! Requests that may crash servers: what this node saw of them, told to other nodes.
+//! Requests that may crash servers: what this node and others observed of them, and where they may
+//! run.
 //!
-//! - [`permission`]: whether and where a request may run;
-//! - [`exchange`]: how nodes tell each other what they know.
+//! - [`permission`]: decides whether and where a request may run;
+//! - [`exchange`]: exchanges reports of crashes between nodes.
 
 pub mod exchange;
 pub mod permission;
@@ -14,43 +15,45 @@
 use slog::info;
 
 use crate::node::{Node, TrafficState};
-use crate::suspects::exchange::tell;
+use crate::suspects::exchange::announce;
 
-/// The server beside this node crashed with these contents aboard.
-pub(crate) fn note_own_crash(node: &Rc<Node>, server: &InstanceId, contents: &[CallerContent]) {
+/// Records that the server beside this node crashed while it ran requests with these contents.
+pub(crate) fn record_own_crash(node: &Rc<Node>, server: &InstanceId, contents: &[CallerContent]) {
     let now = node.now();
     let is_new = {
         let mut state = node.state.borrow_mut();
         let is_new = state.suspects.note_crash(now, contents, server);
-        clear_what_runs_well(&mut state, now, contents.iter().map(|one| one.content));
+        clear_served_contents(&mut state, now, contents.iter().map(|one| one.content));
         is_new
     };
     log_changes(node, "own");
     if is_new {
-        tell(node);
+        announce(node);
     }
 }
 
-/// Another node told that a server crashed under a request of this one.
-pub(crate) fn note_crash_of(node: &Rc<Node>, server: &InstanceId, content: &CallerContent) {
+/// Records that another node reported a crash of its server while it ran a request sent by this
+/// node.
+pub(crate) fn record_reported_crash(node: &Rc<Node>, server: &InstanceId, content: &CallerContent) {
     let now = node.now();
     let mut state = node.state.borrow_mut();
-    let aboard = std::slice::from_ref(content);
-    state.suspects.note_crash(now, aboard, server);
-    clear_what_runs_well(&mut state, now, [content.content]);
+    let running = std::slice::from_ref(content);
+    state.suspects.note_crash(now, running, server);
+    clear_served_contents(&mut state, now, [content.content]);
     drop(state);
     log_changes(node, "attempt");
 }
 
-/// A run of `content` at the server beside this node ended well.
+/// Records that the server beside this node ran a request with `content` to its end.
 pub(crate) fn note_served(state: &mut TrafficState, now: Timestamp, content: CallerContent) {
     state.suspects.note_served(now, &content);
     state.served_lately.note(now, content);
 }
 
-/// What the server beside this node ran well lately is hardly the cause of a crash. What it ran
-/// for other callers counts too: it tells whether the content or its caller is the cause.
-fn clear_what_runs_well(
+/// Counts recent successful runs of `contents` at the server beside this node against the suspicion
+/// that they cause crashes. Runs for other callers count too: they tell whether the content or its
+/// caller is the cause.
+fn clear_served_contents(
     state: &mut TrafficState,
     now: Timestamp,
     contents: impl IntoIterator<Item = ContentFingerprint>,
@@ -62,8 +65,8 @@
     }
 }
 
-/// Forgets what is over, and tells the gauges what is left.
-pub(crate) fn keep_house(node: &Rc<Node>) {
+/// Forgets expired reports of crashes, and updates the gauges of suspected and proven contents.
+pub(crate) fn expire_and_update_gauges(node: &Rc<Node>) {
     let mut state = node.state.borrow_mut();
     state.suspects.forget_old(node.now());
     let (suspected, proven) = state.suspects.counts();
@@ -83,12 +86,12 @@
             true => "content admitted again",
         };
         info!(node.log, "{}", message; "content" => %change.content,
-            "callers" => joined(&change.blocked_callers), "crashed" => joined(&change.servers),
+            "callers" => join_with_spaces(&change.blocked_callers), "crashed" => join_with_spaces(&change.servers),
             "blocked_ms" => change.blocked_for.as_millis() as u64, "from" => from);
     }
 }
 
-fn joined<T: ToString>(items: &[T]) -> String {
+fn join_with_spaces<T: ToString>(items: &[T]) -> String {
     let texts: Vec<String> = items.iter().map(ToString::to_string).collect();
     texts.join(" ")
 }
--- a/crates/proxy/src/suspects/permission.rs
+++ b/crates/proxy/src/suspects/permission.rs
@@ -1,4 +1,4 @@
-//! Whether and where a request may run.
+//! Decides whether and where a request that may crash servers may run.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,24 +11,25 @@
 
 use crate::node::Node;
 
-/// When a request may be tried that can't be now, as its service has one server.
-const NO_TRIAL_PAUSE: Duration = Duration::from_secs(30);
-/// When a request may come back that is being tried already: its trial is over then, and
-/// [`TRIAL_PAUSE`] has passed.
-const TRIAL_ELSEWHERE_PAUSE: Duration = TRIAL_PAUSE;
+/// Time after which callers may retry a request that needs a trial run, but whose service has too
+/// few servers for one.
+const SINGLE_SERVER_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Time after which callers may retry a request whose content is already on trial elsewhere: by
+/// then that trial is over and [`TRIAL_PAUSE`] has passed.
+const ONGOING_TRIAL_RETRY_AFTER: Duration = TRIAL_PAUSE;
 
 /// Where a request may run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Permission {
-    /// At every server of its service.
+    /// The request may run at every server of its service.
     Anywhere,
-    /// At this one, to find out whether it still crashes servers.
+    /// The request may run only at this server, as a trial whether it still crashes servers.
     Only(InstanceId),
-    /// Nowhere, for this time.
+    /// The request may run nowhere for this time.
     Blocked(Duration),
 }
 
-/// Where a request to `service` may run.
+/// Returns where a request with `content` to `service` may run.
 pub(crate) fn permission(node: &Rc<Node>, service: &str, content: &CallerContent) -> Permission {
     let state = node.state.borrow();
     match state.suspects.verdict(node.now(), content) {
@@ -40,15 +41,15 @@
             let ready: Vec<InstanceId> = ready.map(|server| server.id).collect();
             match trial_server(&content.content, &ready) {
                 Some(server) => Permission::Only(server.clone()),
-                None => Permission::Blocked(NO_TRIAL_PAUSE),
+                None => Permission::Blocked(SINGLE_SERVER_RETRY_AFTER),
             }
         }
     }
 }
 
-/// Waits until what is known of `content` is not so young that a request would be refused for
-/// a crash of which other nodes know more.
-pub(crate) async fn settled(node: &Rc<Node>, content: &CallerContent) {
+/// Waits until reports about `content` are no longer so recent that other nodes may know more about
+/// the crash: the request could otherwise be refused without need.
+pub(crate) async fn wait_until_settled(node: &Rc<Node>, content: &CallerContent) {
     loop {
         let now = node.now();
         let left = node.state.borrow().suspects.settles_in(now, content);
@@ -59,8 +60,9 @@
     }
 }
 
-/// Whether an attempt may run at the server beside this node; if not, for how long.
-pub(crate) fn refused_for(
+/// Checks whether an attempt may run at the server beside this node, and begins a trial if it needs
+/// one. Returns none if it may run, or else for how long it is refused.
+pub(crate) fn refuse_or_begin_trial(
     node: &Rc<Node>,
     server: &InstanceId,
     content: &CallerContent,
@@ -68,7 +70,7 @@
     match permission(node, &node.settings.service, content) {
         Permission::Anywhere => None,
         Permission::Blocked(time) => Some(time),
-        Permission::Only(other) if other != *server => Some(TRIAL_ELSEWHERE_PAUSE),
+        Permission::Only(other) if other != *server => Some(ONGOING_TRIAL_RETRY_AFTER),
         Permission::Only(_) => {
             let now = node.now();
             let mut state = node.state.borrow_mut();
@@ -77,7 +79,7 @@
             if may_run {
                 info!(node.log, "content tried"; "content" => %content, "server" => server.as_str());
             }
-            (!may_run).then_some(TRIAL_ELSEWHERE_PAUSE)
+            (!may_run).then_some(ONGOING_TRIAL_RETRY_AFTER)
         }
     }
 }
--- a/crates/proxy/src/tenants/identity.rs
+++ b/crates/proxy/src/tenants/identity.rs
@@ -1,4 +1,5 @@
-//! The tenant of a request's key. Keys go no further than this.
+//! Finds the tenant that a request's key belongs to. Keys are removed from requests here and are
+//! not sent any further.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -10,12 +11,12 @@
 
 use crate::node::Node;
 
-/// The tenant of a request on `route`; none if it needs none. Its key and what it says of its
-/// tenant are taken from its headers.
+/// Returns the tenant of a request on `route`; none if the request needs no key. Removes the key
+/// and any tenant name from the request's headers.
 ///
 /// # Errors
 ///
-/// It needs a key, and hasn't one that is known to be good.
+/// The request needs a key, but carries none that is known to be valid.
 pub(crate) fn identify(
     node: &Rc<Node>,
     headers: &mut HeaderMap,
@@ -35,7 +36,7 @@
         .keys
         .authenticate(route, key, view_age, oldest);
     match identified {
-        // A run on the server beside this node asks without a key.
+        // Nested calls of runs on the server beside this node carry no key.
         Err(Denial::NoKey) if is_call_of_run(node, &state.admission, headers) => Ok(None),
         other => other,
     }
@@ -43,7 +44,7 @@
 
 fn key_digest(node: &Rc<Node>, headers: &HeaderMap) -> Option<KeyDigest> {
     let value = headers.get(&node.names.authorization)?.as_bytes();
-    let space = value.iter().position(|sign| *sign == b' ')?;
+    let space = value.iter().position(|byte| *byte == b' ')?;
     let (scheme, key) = value.split_at(space);
     let is_known_scheme = scheme.eq_ignore_ascii_case(node.names.key_scheme.as_bytes());
     is_known_scheme.then(|| KeyDigest::of(key.trim_ascii()))
--- a/crates/proxy/src/tenants/lending.rs
+++ b/crates/proxy/src/tenants/lending.rs
@@ -1,4 +1,4 @@
-//! What this node lends others of a tenant's tokens.
+//! Lends tokens of tenants to other nodes.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -15,20 +15,21 @@
 use crate::http::ProxyBody;
 use crate::http::body::{self, ReadBody};
 use crate::node::Node;
-use crate::tenants::tokens::{LENDER_LIMIT, ask_one};
+use crate::tenants::tokens::{LENDER_TIMEOUT, query_lender};
 
-/// The largest question that is read, bytes.
-const MAX_QUESTION: usize = 4096;
-/// Rates go between nodes as whole thousandths.
+/// The largest query for tokens that is read, in bytes.
+const MAX_QUERY_BYTES: usize = 4096;
+/// Factor by which rates are multiplied in messages between nodes, which carry them as whole
+/// thousandths.
 pub(super) const THOUSANDTHS: f64 = 1000.0;
 
-/// The answer to a node that asks for tokens.
+/// Answers a node that queries this one for tokens.
 pub(crate) async fn answer(
     node: &Rc<Node>,
     request: Request<Option<Incoming>>,
 ) -> Response<ProxyBody> {
-    let Some(question) = read_question(request).await else {
-        warn!(node.log, "question for tokens not understood");
+    let Some(question) = read_query(request).await else {
+        warn!(node.log, "malformed token query from another node");
         let mut response = Response::new(ProxyBody::empty());
         *response.status_mut() = StatusCode::BAD_REQUEST;
         return response;
@@ -46,68 +47,80 @@
         expected,
     };
     let answer = match is_passed_on {
-        true => lend_passed_on(node, &tenant, question),
-        false => lend(node, &tenant, question).await,
+        true => lend_forwarded(node, &tenant, question),
+        false => lend_or_forward(node, &tenant, question).await,
     };
     let bytes = minicbor::to_vec(&answer).expect("writing to memory does not fail");
     Response::new(ProxyBody::Whole(bytes.into()))
 }
 
-async fn read_question(request: Request<Option<Incoming>>) -> Option<QuotaQuestion> {
+async fn read_query(request: Request<Option<Incoming>>) -> Option<QuotaQuestion> {
     let incoming = request.into_body()?;
-    let ReadBody::Whole(bytes) = body::read(incoming, MAX_QUESTION).await.ok()? else {
+    let ReadBody::Whole(bytes) = body::read(incoming, MAX_QUERY_BYTES).await.ok()? else {
         return None;
     };
     let bytes: Bytes = bytes;
     minicbor::decode(&bytes).ok()
 }
 
-/// Lends tokens of `tenant`, or has the node lend that this one would stand in for.
-pub(super) async fn lend(node: &Rc<Node>, tenant: &str, question: Question) -> QuotaAnswer {
-    let before = lenders_before(node, tenant);
-    for server in &before {
-        if let Some(answer) = ask_before(node, *server, tenant, question).await {
+/// Lends tokens of `tenant`. Forwards the query first to the nodes that precede this one as
+/// lenders, and lends in their place only if none of them answers.
+pub(super) async fn lend_or_forward(
+    node: &Rc<Node>,
+    tenant: &str,
+    question: Question,
+) -> QuotaAnswer {
+    let preceding = preceding_lenders(node, tenant);
+    for server in &preceding {
+        if let Some(answer) = query_preceding_lender(node, *server, tenant, question).await {
             return answer;
         }
     }
-    lend_own(node, tenant, question, &before)
+    lend_from_own_quota(node, tenant, question, &preceding)
 }
 
-/// Lends tokens of `tenant` to a node that was asked in place of this one.
-fn lend_passed_on(node: &Rc<Node>, tenant: &str, question: Question) -> QuotaAnswer {
-    let before = lenders_before(node, tenant);
-    lend_own(node, tenant, question, &before)
+/// Lends tokens of `tenant` for a query that another node forwarded to this one.
+fn lend_forwarded(node: &Rc<Node>, tenant: &str, question: Question) -> QuotaAnswer {
+    let preceding = preceding_lenders(node, tenant);
+    lend_from_own_quota(node, tenant, question, &preceding)
 }
 
-/// The servers whose nodes lend before this one. Nodes that learn of servers at different
-/// moments rank them differently for a while; one that is asked out of turn comes last.
-fn lenders_before(node: &Rc<Node>, tenant: &str) -> Vec<SocketAddrV4> {
+/// Returns the servers whose nodes precede this one as lenders of `tenant`'s tokens. Nodes that
+/// learn of servers at different moments rank them differently for a while; a node that is asked
+/// but does not rank itself as a lender comes last.
+fn preceding_lenders(node: &Rc<Node>, tenant: &str) -> Vec<SocketAddrV4> {
     let own = node.settings.server_address;
     let lenders = node.state.borrow_mut().tenants.lenders(tenant);
     lenders.into_iter().take_while(|one| *one != own).collect()
 }
 
-/// Asks the node beside `server`, which lends before this one, unless it failed to answer a
-/// moment ago.
-async fn ask_before(
+/// Queries the node beside `server`, which precedes this one as lender, unless it failed to answer
+/// a moment ago.
+async fn query_preceding_lender(
     node: &Rc<Node>,
     server: SocketAddrV4,
     tenant: &str,
     question: Question,
 ) -> Option<QuotaAnswer> {
     let now = node.now();
-    if !node.state.borrow().tenants.missing.may_ask(now, server) {
+    if !node
+        .state
+        .borrow()
+        .tenants
+        .missing_nodes
+        .may_ask(now, server)
+    {
         return None;
     }
-    ask_one(node, server, tenant, question, true, LENDER_LIMIT).await
+    query_lender(node, server, tenant, question, true, LENDER_TIMEOUT).await
 }
 
-/// Lends what this node has, which lends after `before`.
-fn lend_own(
+/// Lends tokens from this node's own share of the quota, given the lenders that precede it.
+fn lend_from_own_quota(
     node: &Rc<Node>,
     tenant: &str,
     question: Question,
-    before: &[SocketAddrV4],
+    preceding: &[SocketAddrV4],
 ) -> QuotaAnswer {
     let view_age = node.view_age();
     let now = node.now();
@@ -119,15 +132,15 @@
     let Some(quota) = known.and_then(|known| tenants.quota(&known, tolerance)) else {
         return QuotaAnswer::NotLender;
     };
-    let standing = tenants.missing.standing(now, before, view_age);
+    let standing = tenants.missing_nodes.standing(now, preceding, view_age);
     let quota = quota.lent_by(standing);
-    let idle = match before {
-        [] => now.saturating_since(tenants.candidates_since),
-        // What the lender before this one lent is not known.
+    let idle = match preceding {
+        [] => now.saturating_since(tenants.candidates_unchanged_since),
+        // How much the preceding lenders have lent is not known.
         _ => Duration::ZERO,
     };
     let lender = tenants
-        .lending
+        .active_lenders
         .entry(tenant.to_owned())
         .or_insert_with(|| Lender::rested(now, &quota, idle));
     let was_short = lender.is_short();
--- a/crates/proxy/src/tenants/mod.rs
+++ b/crates/proxy/src/tenants/mod.rs
@@ -1,8 +1,8 @@
-//! Tenants: whose a request is, and whether its tenant may send one more.
+//! Tenants: which tenant a request belongs to, and whether the tenant's rate limit admits it.
 //!
-//! - [`identity`]: the tenant of a request's key;
-//! - [`tokens`]: a token for a request, asked for at the tenant's lender;
-//! - [`lending`]: what this node lends others.
+//! - [`identity`]: finds the tenant by the key of a request;
+//! - [`tokens`]: acquires a token for a request from the node that lends the tenant's tokens;
+//! - [`lending`]: lends tokens of tenants to other nodes.
 
 pub(crate) mod identity;
 pub(crate) mod lending;
@@ -24,54 +24,63 @@
 
 use crate::node::Node;
 
-/// What a node knows of tenants.
+/// A node's state about tenants: their keys, the nodes that lend their tokens, and the tokens that
+/// are borrowed and lent.
 #[derive(Default)]
 pub struct TenantState {
-    /// The keys of the configuration in force.
+    /// The tenants' keys in the configuration in force.
     pub keys: KeyTable,
+    /// The nodes that may lend tokens.
     candidates: LenderCandidates,
-    /// Since when the nodes that may lend are the same.
-    candidates_since: Timestamp,
-    /// Those that were ranked for a tenant already.
-    lenders: HashMap<String, Vec<SocketAddrV4>>,
+    /// Since when the set of nodes that may lend tokens has been unchanged.
+    candidates_unchanged_since: Timestamp,
+    /// Servers whose nodes lend a tenant's tokens, in order of precedence; cached by tenant name.
+    lender_order: HashMap<String, Vec<SocketAddrV4>>,
+    /// Number of servers in force.
     fleet_size: usize,
+    /// Tokens that this node has borrowed, by tenant name.
     borrowers: HashMap<String, Borrower>,
-    lending: HashMap<String, Lender>,
-    missing: MissingNodes,
-    /// Questions on their way, by tenant; notified when they are answered.
-    asking: HashMap<String, Rc<Notify>>,
+    /// Tokens that this node lends, by tenant name.
+    active_lenders: HashMap<String, Lender>,
+    /// Lending nodes that failed to answer.
+    missing_nodes: MissingNodes,
+    /// Token queries in progress, by tenant name; each is notified when it has been answered.
+    pending_queries: HashMap<String, Rc<Notify>>,
 }
 
 impl TenantState {
-    /// Brings the keys in line with `configuration`.
+    /// Replaces the keys with those of `configuration`, and drops the state of tenants that are no
+    /// longer in it.
     pub fn set_configuration(&mut self, configuration: &Configuration) {
         self.keys = KeyTable::new(configuration);
         let keys = &self.keys;
         self.borrowers.retain(|name, _| keys.tenant(name).is_some());
-        self.lending.retain(|name, _| keys.tenant(name).is_some());
-        self.lenders.retain(|name, _| keys.tenant(name).is_some());
+        self.active_lenders
+            .retain(|name, _| keys.tenant(name).is_some());
+        self.lender_order
+            .retain(|name, _| keys.tenant(name).is_some());
     }
 
-    /// Brings the nodes that may lend in line with `servers`.
+    /// Updates the set of nodes that may lend tokens to those beside `servers`.
     pub fn set_servers(&mut self, now: Timestamp, servers: &[ServerInstance]) {
         self.fleet_size = servers.len();
         let candidates = LenderCandidates::among(servers);
         if candidates == self.candidates {
             return;
         }
-        self.missing.retain(candidates.addresses());
+        self.missing_nodes.retain(candidates.addresses());
         self.candidates = candidates;
-        self.candidates_since = now;
-        self.lenders.clear();
+        self.candidates_unchanged_since = now;
+        self.lender_order.clear();
     }
 
-    /// The servers beside whose nodes `tenant`'s tokens are lent, in their order.
+    /// Returns the servers whose nodes lend `tenant`'s tokens, in order of precedence.
     fn lenders(&mut self, tenant: &str) -> Vec<SocketAddrV4> {
-        if let Some(known) = self.lenders.get(tenant) {
+        if let Some(known) = self.lender_order.get(tenant) {
             return known.clone();
         }
         let ranked = self.candidates.lenders(tenant);
-        self.lenders.insert(tenant.to_owned(), ranked.clone());
+        self.lender_order.insert(tenant.to_owned(), ranked.clone());
         ranked
     }
 
@@ -81,15 +90,15 @@
     }
 }
 
-/// Forgets what a node that knows nothing would know as well, and tells the gauges what is
-/// left.
-pub(crate) fn keep_house(node: &Rc<Node>) {
+/// Drops borrowers and lenders whose state equals that of a newly started node, and updates the
+/// gauges of tenants.
+pub(crate) fn expire_and_update_gauges(node: &Rc<Node>) {
     let now = node.now();
     let mut state = node.state.borrow_mut();
     let TenantState {
         keys,
         borrowers,
-        lending,
+        active_lenders,
         fleet_size,
         ..
     } = &mut state.tenants;
@@ -101,7 +110,7 @@
     borrowers.retain(|name, borrower| {
         quota_of(name).is_some_and(|quota| !borrower.is_idle(now, &quota))
     });
-    lending
+    active_lenders
         .retain(|name, lender| quota_of(name).is_some_and(|quota| lender.is_in_use(now, &quota)));
     let at_limit = borrowers
         .values()
@@ -113,5 +122,5 @@
     };
     gauge("in_use", borrowers.len());
     gauge("at_limit", at_limit);
-    gauge("lent_here", lending.len());
+    gauge("lent_here", active_lenders.len());
 }
--- a/crates/proxy/src/tenants/tokens.rs
+++ b/crates/proxy/src/tenants/tokens.rs
@@ -1,4 +1,4 @@
-//! A token for a request, asked for at its tenant's lender.
+//! Acquires a token for a request from the node that lends its tenant's tokens.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -23,31 +23,33 @@
 use crate::peer_headers;
 use crate::tenants::lending;
 
-/// The longest time that the lender may take to answer. Asked and answered within 3 ms
-/// between zones as a rule; busy nodes take tens of milliseconds.
-pub(super) const LENDER_LIMIT: Duration = Duration::from_millis(100);
-/// The longest time that a node may take which stands in for the lender and asks it first.
-const STAND_IN_LIMIT: Duration = Duration::from_millis(250);
-/// A request asks at most so often: an answer may be used up by requests that came before it.
-const QUESTIONS: usize = 3;
-
-/// Why there is no token.
+/// Timeout of a query to a lender. Between zones an answer normally arrives within 3 ms; busy nodes
+/// take tens of milliseconds.
+pub(super) const LENDER_TIMEOUT: Duration = Duration::from_millis(100);
+/// Timeout of a query to a node that stands in for the first lender: it queries that one before it
+/// answers.
+const STAND_IN_TIMEOUT: Duration = Duration::from_millis(250);
+/// The largest number of queries that one request waits for. An answer may bring no token for it,
+/// because requests that arrived earlier took them all.
+const MAX_QUERIES: usize = 3;
+
+/// Why a request got no token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoToken {
     /// The tenant is at its limit; a token is expected after this time.
     OverLimit(Duration),
-    /// No lender answers; one may after this time.
+    /// No lender answers; one may answer after this time.
     Unanswered(Duration),
 }
 
-/// Takes a token for a request of `tenant`.
+/// Acquires a token for a request of `tenant`.
 ///
 /// # Errors
 ///
-/// There is none.
-pub(crate) async fn take(node: &Rc<Node>, tenant: &Arc<Tenant>) -> Result<(), NoToken> {
+/// No token is available.
+pub(crate) async fn acquire(node: &Rc<Node>, tenant: &Arc<Tenant>) -> Result<(), NoToken> {
     let mut taken = with_borrower(node, tenant, Borrower::arrive);
-    for _ in 0..QUESTIONS {
+    for _ in 0..MAX_QUERIES {
         if taken != Some(Taken::AskLender) {
             break;
         }
@@ -55,20 +57,21 @@
         taken = with_borrower(node, tenant, Borrower::take_after_answer);
     }
     match taken {
-        // Without a limit, none is needed.
+        // A tenant without a limit needs no token.
         None | Some(Taken::Token) => Ok(()),
         Some(Taken::OverLimit(time)) => Err(NoToken::OverLimit(time)),
         Some(Taken::Unanswered(time)) => Err(NoToken::Unanswered(time)),
-        Some(Taken::AskLender) => Err(NoToken::Unanswered(LENDER_LIMIT)),
+        Some(Taken::AskLender) => Err(NoToken::Unanswered(LENDER_TIMEOUT)),
     }
 }
 
-/// A request that had a token did not run.
-pub(crate) fn give_back(node: &Rc<Node>, tenant: &Tenant) {
+/// Returns the token of a request that did not run.
+pub(crate) fn return_token(node: &Rc<Node>, tenant: &Tenant) {
     with_borrower(node, tenant, |borrower, now, _| borrower.give_back(now));
 }
 
-/// Gives `act` what this node knows of `tenant`'s tokens; none if it has no limit.
+/// Calls `act` with the borrower of `tenant`'s tokens and the tenant's quota; returns none if the
+/// tenant has no limit.
 fn with_borrower<T>(
     node: &Rc<Node>,
     tenant: &Tenant,
@@ -86,20 +89,20 @@
     Some(act(borrower, now, &quota))
 }
 
-/// Counts a request among those that wait while it lives.
-struct Waiting<'a> {
+/// Counts a request as waiting for a token until dropped.
+struct WaitingGuard<'a> {
     node: &'a Rc<Node>,
     tenant: &'a Tenant,
 }
 
-impl<'a> Waiting<'a> {
+impl<'a> WaitingGuard<'a> {
     fn begin(node: &'a Rc<Node>, tenant: &'a Tenant) -> Self {
         with_borrower(node, tenant, |borrower, _, _| borrower.begin_waiting());
-        Waiting { node, tenant }
+        WaitingGuard { node, tenant }
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         with_borrower(self.node, self.tenant, |borrower, _, _| {
             borrower.end_waiting();
@@ -107,73 +110,87 @@
     }
 }
 
-/// Waits until the tenant's lender has answered a question, which is asked if none is on its
-/// way.
+/// Waits until a query for the tenant's tokens has been answered or has failed. Sends a query if
+/// none is in progress.
 async fn wait_for_answer(node: &Rc<Node>, tenant: &Arc<Tenant>) {
-    let _waiting = Waiting::begin(node, tenant);
+    let _waiting = WaitingGuard::begin(node, tenant);
     let known = node
         .state
         .borrow()
         .tenants
-        .asking
+        .pending_queries
         .get(&tenant.name)
         .cloned();
     let answered = known.unwrap_or_else(|| {
         let answered = Rc::new(Notify::new());
         let mut state = node.state.borrow_mut();
         let name = tenant.name.clone();
-        state.tenants.asking.insert(name, answered.clone());
-        tokio::task::spawn_local(ask(node.clone(), tenant.clone()));
+        state.tenants.pending_queries.insert(name, answered.clone());
+        tokio::task::spawn_local(query_lenders(node.clone(), tenant.clone()));
         answered
     });
     answered.notified().await;
 }
 
-/// Asks the lenders of `tenant` in their order until one lends.
-async fn ask(node: Rc<Node>, tenant: Arc<Tenant>) {
-    let asked = node.now();
+/// Queries the lenders of `tenant` in order of precedence until one answers, and updates the
+/// borrower.
+async fn query_lenders(node: Rc<Node>, tenant: Arc<Tenant>) {
+    let sent_at = node.now();
     let question = with_borrower(&node, &tenant, Borrower::question).unwrap_or_default();
     let lenders = node.state.borrow_mut().tenants.lenders(&tenant.name);
-    let loan = ask_in_turn(&node, &tenant, &lenders, question).await;
+    let loan = query_in_order(&node, &tenant, &lenders, question).await;
     with_borrower(&node, &tenant, |borrower, now, _| match loan {
-        Some(loan) => borrower.answered(now, asked, loan),
+        Some(loan) => borrower.answered(now, sent_at, loan),
         None => borrower.unanswered(now),
     });
     if loan.is_none() && node.may_log() {
         warn!(node.log, "no lender answers"; "tenant" => &tenant.name,
             "lenders" => lenders.len(), "revision" => %node.revision());
     }
-    let answered = node.state.borrow_mut().tenants.asking.remove(&tenant.name);
+    let answered = node
+        .state
+        .borrow_mut()
+        .tenants
+        .pending_queries
+        .remove(&tenant.name);
     if let Some(answered) = answered {
         answered.notify_waiters();
     }
 }
 
-async fn ask_in_turn(
+async fn query_in_order(
     node: &Rc<Node>,
     tenant: &Tenant,
     lenders: &[SocketAddrV4],
     question: Question,
 ) -> Option<Loan> {
-    let limits = std::iter::once(LENDER_LIMIT).chain(std::iter::repeat(STAND_IN_LIMIT));
+    let limits = std::iter::once(LENDER_TIMEOUT).chain(std::iter::repeat(STAND_IN_TIMEOUT));
     for (server, limit) in lenders.iter().zip(limits) {
         if *server == node.settings.server_address {
-            let answer = lending::lend(node, &tenant.name, question).await;
-            return loan(&answer);
+            let answer = lending::lend_or_forward(node, &tenant.name, question).await;
+            return parse_loan(&answer);
         }
         let now = node.now();
-        if !node.state.borrow().tenants.missing.may_ask(now, *server) {
+        if !node
+            .state
+            .borrow()
+            .tenants
+            .missing_nodes
+            .may_ask(now, *server)
+        {
             continue;
         }
-        if let Some(answer) = ask_one(node, *server, &tenant.name, question, false, limit).await {
-            return loan(&answer);
+        if let Some(answer) =
+            query_lender(node, *server, &tenant.name, question, false, limit).await
+        {
+            return parse_loan(&answer);
         }
     }
     None
 }
 
-/// Asks the node beside `server`; none if it doesn't answer.
-pub(super) async fn ask_one(
+/// Queries the node beside `server` for tokens; none if it does not answer.
+pub(super) async fn query_lender(
     node: &Rc<Node>,
     server: SocketAddrV4,
     tenant: &str,
@@ -195,20 +212,20 @@
     let answered = peer_client::ask(node, address, path, HeaderMap::new(), body, limit).await;
     let now = node.now();
     let mut state = node.state.borrow_mut();
-    let missing = &mut state.tenants.missing;
+    let missing_nodes = &mut state.tenants.missing_nodes;
     match answered {
         Ok((answer, _)) => {
-            missing.answered(server);
+            missing_nodes.answered(server);
             Some(answer)
         }
         Err(error) => {
-            missing.failed(now, server, failure(&error));
+            missing_nodes.failed(now, server, classify_failure(&error));
             None
         }
     }
 }
 
-fn failure(error: &FetchError) -> Failure {
+fn classify_failure(error: &FetchError) -> Failure {
     match error {
         FetchError::Send(SendError::NotSent(error))
             if error.kind() == std::io::ErrorKind::ConnectionRefused =>
@@ -219,7 +236,7 @@
     }
 }
 
-fn loan(answer: &QuotaAnswer) -> Option<Loan> {
+fn parse_loan(answer: &QuotaAnswer) -> Option<Loan> {
     match answer {
         QuotaAnswer::NotLender => None,
         QuotaAnswer::Lent {
