--- a/crates/proxy/src/inbound/mod.rs
+++ b/crates/proxy/src/inbound/mod.rs
@@ -36,7 +36,7 @@
 use crate::inbound::server_run::send_to_server;
 use crate::node::Node;
 use crate::peer_headers;
-use crate::peer_headers::{Terms, TreePlace};
+use crate::peer_headers::{AttemptTerms, CallTreePlace};
 use crate::suspects::permission;
 
 /// How much longer than the caller's node the server's node waits for the server's answer.
@@ -54,13 +54,13 @@
     /// When the caller's node stops waiting for the attempt.
     pub deadline: Timestamp,
     /// The attempt's place in the call tree of its request.
-    pub tree: TreePlace,
+    pub tree: CallTreePlace,
     /// How long the attempt may wait in the server's queue before it runs.
     pub patience: Duration,
     /// The request rate limit that the sending node knows for the server, if any.
     pub limit_known_to_sender: Option<RequestRate>,
     /// Whether the attempt may be redirected or repeated, and the zone that it comes from.
-    pub terms: Terms,
+    pub terms: AttemptTerms,
     /// Which connections to another node the attempt may be sent on.
     pub reuse: Reuse,
     /// Whether the answer to the attempt has begun to arrive.
@@ -102,7 +102,7 @@
     let logged = LoggedAttempt::of(node, &attempt);
     let outcome = admit_and_run(node, attempt).await;
     logged.log(node, &outcome.end);
-    let failure = peer_headers::failure_words(&outcome.end);
+    let failure = peer_headers::failure_labels(&outcome.end);
     let word = failure.map_or(peer_headers::ANSWERED, |(_, why)| why);
     node.metrics.attempts.with_label_values(&[word]).inc();
     outcome
@@ -113,7 +113,7 @@
     request_id: String,
     content: CallerContent,
     server: InstanceId,
-    tree: TreePlace,
+    tree: CallTreePlace,
     zone: String,
     arrived: Timestamp,
 }
@@ -132,7 +132,7 @@
     }
 
     fn log(&self, node: &Rc<Node>, end: &AttemptEnd) {
-        let Some((outcome, why)) = peer_headers::failure_words(end) else {
+        let Some((outcome, why)) = peer_headers::failure_labels(end) else {
             return;
         };
         if !node.may_log() {
--- a/crates/proxy/src/outbound/answer.rs
+++ b/crates/proxy/src/outbound/answer.rs
@@ -64,7 +64,7 @@
                 RefusalReason::Overloaded => "overloaded",
                 RefusalReason::OutOfTime => "out-of-time",
                 RefusalReason::CrashesServers => peer_headers::CRASHES_SERVERS,
-                RefusalReason::AllRefused(reason) => peer_headers::not_run_word(*reason),
+                RefusalReason::AllRefused(reason) => peer_headers::not_run_label(*reason),
             };
             (REFUSED, why)
         }
@@ -124,7 +124,7 @@
     if !node.may_log() {
         return;
     }
-    let Some((outcome, why)) = peer_headers::failure_words(end) else {
+    let Some((outcome, why)) = peer_headers::failure_labels(end) else {
         return;
     };
     let now = node.now();
--- a/crates/proxy/src/outbound/attempts.rs
+++ b/crates/proxy/src/outbound/attempts.rs
@@ -29,15 +29,15 @@
 use crate::outbound::answer::{finish, log_attempt};
 use crate::outbound::request::RoutedRequest;
 use crate::outbound::send::{outgoing_request, send_attempt};
-use crate::peer_headers::{self, Terms, TreePlace};
+use crate::peer_headers::{self, AttemptTerms, CallTreePlace};
 use crate::probe::{self, Liveness};
 use crate::suspects;
 use crate::suspects::permission::{self, Permission};
 
 /// The fraction of the route's target latency that a request may spend in queues.
-const QUEUE_TIME_FRACTION: f64 = 0.2;
+const QUEUE_FRACTION: f64 = 0.2;
 /// The fraction of its remaining time that a nested call may spend in queues.
-const NESTED_QUEUE_TIME_FRACTION: f64 = 0.5;
+const NESTED_QUEUE_FRACTION: f64 = 0.5;
 /// The longest time that a request may spend in queues if its route has no target latency.
 const DEFAULT_QUEUE_TIME: Duration = Duration::from_millis(200);
 
@@ -161,14 +161,14 @@
     }
 
     async fn probe(&self, node: &Rc<Node>, request_id: &str) -> Finding {
-        match probe::ask(node, &self.server, Some(request_id)).await {
+        match probe::send_probe(node, &self.server, Some(request_id)).await {
             Liveness::Alive => Finding::InProgress,
             Liveness::Silent => {
                 probe::set_aside(node, &self.server, "silent");
                 Finding::ServerUnresponsive
             }
-            Liveness::AttemptNotThere if self.has_answer_begun.get() => Finding::InProgress,
-            Liveness::AttemptNotThere => {
+            Liveness::AttemptNotFound if self.has_answer_begun.get() => Finding::InProgress,
+            Liveness::AttemptNotFound => {
                 let address = node.node_beside(&self.server);
                 info!(node.log, "connection silent"; "request" => request_id,
                     "server" => self.server.id.as_str(), "node" => %address);
@@ -223,12 +223,12 @@
         content: request.content.clone(),
         server: server.id.clone(),
         deadline: call.ends(),
-        tree: TreePlace {
+        tree: CallTreePlace {
             is_repeat: request.tree.is_repeat || call.is_repeat(),
             ..request.tree
         },
         patience: max_queue_time(request, sent, call.ends()),
-        terms: Terms {
+        terms: AttemptTerms {
             zone: node.settings.zone.clone(),
             may_go_elsewhere: choice.has_alternative && call.may_be_turned_away(),
             may_repeat: request.route.route.is_idempotent(),
@@ -359,14 +359,10 @@
 
 fn max_queue_time(request: &RoutedRequest, now: Timestamp, ends: Timestamp) -> Duration {
     if request.tree.is_nested {
-        return ends
-            .saturating_since(now)
-            .mul_f64(NESTED_QUEUE_TIME_FRACTION);
+        return ends.saturating_since(now).mul_f64(NESTED_QUEUE_FRACTION);
     }
     let target = request.route.route.target_latency;
-    let allowed = target.map_or(DEFAULT_QUEUE_TIME, |target| {
-        target.mul_f64(QUEUE_TIME_FRACTION)
-    });
+    let allowed = target.map_or(DEFAULT_QUEUE_TIME, |target| target.mul_f64(QUEUE_FRACTION));
     allowed.saturating_sub(now.saturating_since(request.arrived))
 }
 
@@ -398,13 +394,13 @@
             }
             drop(state);
             info!(node.log, "server withdrawn"; "server" => server.id.as_str(),
-                "service" => &server.service, "why" => peer_headers::not_run_word(reason),
+                "service" => &server.service, "why" => peer_headers::not_run_label(reason),
                 "revision" => %node.revision());
         }
         NotRunReason::NodeUnreachable
         | NotRunReason::NodeLeaving
         | NotRunReason::ServerUnreachable => {
-            probe::set_aside(node, server, peer_headers::not_run_word(reason));
+            probe::set_aside(node, server, peer_headers::not_run_label(reason));
         }
     }
 }
--- a/crates/proxy/src/outbound/request.rs
+++ b/crates/proxy/src/outbound/request.rs
@@ -19,7 +19,7 @@
 use crate::http::body;
 use crate::http::headers::host;
 use crate::node::Node;
-use crate::peer_headers::{self, TreePlace};
+use crate::peer_headers::{self, CallTreePlace};
 
 /// Request bodies up to this size, in bytes, are buffered whole, so that they can be sent again.
 const MAX_BUFFERED_REQUEST_BYTES: usize = 256 * 1024;
@@ -35,7 +35,7 @@
     pub(super) route: Rc<ChosenRoute>,
     /// The tenant that the request belongs to; none if the request needs no key.
     pub(super) tenant: Option<Arc<Tenant>>,
-    pub(super) tree: TreePlace,
+    pub(super) tree: CallTreePlace,
     pub(super) arrived: Timestamp,
 }
 
@@ -105,7 +105,7 @@
     route: &ChosenRoute,
     tenant: Option<&Tenant>,
     call: &Call,
-) -> (TreePlace, Option<NestedCall>) {
+) -> (CallTreePlace, Option<NestedCall>) {
     let id = node.names.request_id_of(&head.headers);
     let time_left = peer_headers::milliseconds(&head.headers, &node.names.deadline_ms);
     let deadline = time_left.map_or(call.ends(), |time_left| node.now() + time_left);
@@ -113,7 +113,7 @@
     match state.admission.parent_of(id, deadline) {
         Some(parent) => {
             state.admission.called(parent.run, &route.service);
-            let place = TreePlace {
+            let place = CallTreePlace {
                 priority: parent.priority,
                 is_nested: true,
                 is_repeat: parent.is_repeat,
@@ -130,7 +130,7 @@
                 route: route.route.priority,
                 tenant: tenant.map(|tenant| tenant.priority),
             };
-            let place = TreePlace {
+            let place = CallTreePlace {
                 priority: priority_of_request(rank, id),
                 is_nested: false,
                 is_repeat: false,
--- a/crates/proxy/src/peer_headers.rs
+++ b/crates/proxy/src/peer_headers.rs
@@ -1,4 +1,4 @@
-//! Headers that nodes exchange with each other.
+//! Paths and headers of the messages between nodes.
 
 use std::net::SocketAddrV4;
 use std::str::FromStr;
@@ -16,69 +16,71 @@
 
 use crate::http::headers::remove_all;
 
-/// What all of them begin with. Callers' headers of this kind are dropped.
+/// Prefix of all headers that only nodes may send. Callers' headers with this prefix are removed.
 pub const PREFIX: &str = "lifthollow-";
-/// Path at which a node gives its snapshot.
+/// Path at which a node serves its snapshot, or the changes that the asking node lacks.
 pub const SNAPSHOT_PATH: &str = "/lifthollow/snapshot";
-/// Path at which a node tells which requests may crash servers.
+/// Path at which a node serves its reports about requests that may crash servers.
 pub const SUSPECTS_PATH: &str = "/lifthollow/suspects";
 /// Path at which a node lends tokens of tenants.
 pub const QUOTA_PATH: &str = "/lifthollow/quota";
-/// Path at which a node says whether it and its server answer.
+/// Path at which a node answers probes: whether it and the server beside it are available.
 pub const PROBE_PATH: &str = "/lifthollow/probe";
-/// The attempt's tree (place in the order of shedding, nested, repeat) and its
-/// [`Terms`].
+/// With an attempt: its [`CallTreePlace`] (admission level of its priority, whether it is nested,
+/// whether it is a repeat) and its [`AttemptTerms`].
 pub const TREE: HeaderName = HeaderName::from_static("lifthollow-tree");
-/// How long the attempt may wait before it runs, milliseconds.
+/// With an attempt: how long it may wait in the server's queue before it runs, in milliseconds.
 pub const PATIENCE: HeaderName = HeaderName::from_static("lifthollow-patience-ms");
-/// Of the sender's snapshot: the number of its revision, the era of that, and the version of its
-/// configuration.
+/// The version of the sender's snapshot: the number of its revision, the revision's era, and the
+/// version of its configuration.
 pub const SNAPSHOT_VERSION: HeaderName = HeaderName::from_static("lifthollow-revision");
-/// In answers: how long ago that revision was known to be the newest, and how long
-/// the question was held, milliseconds.
+/// In answers: how long ago the revision in [`SNAPSHOT_VERSION`] was known to be the source's
+/// newest, and how long the request was held before it was answered, both in milliseconds.
 pub const VIEW: HeaderName = HeaderName::from_static("lifthollow-view");
-/// Digest of what the sender knows of requests that may crash servers; not there if it
-/// knows nothing.
+/// Digest of the sender's reports about requests that may crash servers; missing if it has none.
 pub const SUSPECTS: HeaderName = HeaderName::from_static("lifthollow-suspects");
-/// Where the sender takes messages of other nodes.
+/// The address at which the sender takes messages of other nodes.
 pub const NODE: HeaderName = HeaderName::from_static("lifthollow-node");
-/// In a probe: the identity of the request that the sender waits for. In its answer:
-/// [`IN_PROGRESS`], or [`NOT_HERE`].
+/// In a probe: the identifier of the request that the sender waits for. In the answer to a probe:
+/// [`IN_PROGRESS`] or [`NOT_IN_PROGRESS`].
 pub const WAITING_FOR: HeaderName = HeaderName::from_static("lifthollow-waiting-for");
-/// How the attempt ended.
+/// In answers: how the attempt ended.
 pub const OUTCOME: HeaderName = HeaderName::from_static("lifthollow-outcome");
-/// Running, waiting and allowed requests at the server, its admission level, and
-/// the share of requests that it fails, in thousandths.
+/// In answers: the numbers of running, waiting and allowed requests at the server, its admission
+/// level, whether that level is for nested calls, and the share of requests that the server fails,
+/// in thousandths.
 pub const LOAD: HeaderName = HeaderName::from_static("lifthollow-load");
 
-/// In answers: what the server says of itself, its limit (or [`NO_LIMIT`]) and whether it leaves;
-/// not there if it says nothing.
+/// In answers: the server's notice about itself, which is its request rate limit (or [`NO_LIMIT`])
+/// and whether it is leaving; missing if it has sent neither.
 pub const SERVER_NOTICE: HeaderName = HeaderName::from_static("lifthollow-server-notice");
-/// With an attempt: the limit that its server named to the sender; not there if it named none.
+/// With an attempt: the request rate limit that its server named to the sender; missing if it named
+/// none.
 pub const TOLD_LIMIT: HeaderName = HeaderName::from_static("lifthollow-told-limit");
 
-/// Where an attempt stands in the tree of its request.
+/// The place of an attempt in the call tree of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TreePlace {
-    /// The tree's place in the order of shedding.
+pub struct CallTreePlace {
+    /// The priority of the tree, which decides in which order requests are shed under overload.
     pub priority: Priority,
-    /// Whether a server made it for a request of its own.
+    /// Whether the attempt is for a call that a server makes while it runs another request.
     pub is_nested: bool,
-    /// Whether a server may have run it, or what it is made for, before.
+    /// Whether a server may already have run this call, or the request that the call is made for.
     pub is_repeat: bool,
 }
 
-/// The word for a request that a probed node has an attempt of.
+/// Value of [`WAITING_FOR`] if the probed node has an attempt of the request in progress.
 pub const IN_PROGRESS: &str = "in-progress";
-/// The word for a request that a probed node has no attempt of.
-pub const NOT_HERE: &str = "not-here";
-/// The word for a request that crashes the servers that run it.
+/// Value of [`WAITING_FOR`] if the probed node has no attempt of the request in progress.
+pub const NOT_IN_PROGRESS: &str = "not-here";
+/// Label of the refusal of a request that crashes the servers that run it.
 pub const CRASHES_SERVERS: &str = "crashes-servers";
-/// The word for an attempt that the server answered.
+/// Label of an attempt that the server answered.
 pub const ANSWERED: &str = "answered";
+/// Factor by which the failure share is multiplied in [`LOAD`].
 const THOUSANDTHS: f64 = 1000.0;
 const MICROS_IN_MILLISECOND: u128 = 1000;
-/// The word for the limit of a server that names none.
+/// Stands for the limit of a server that names none, in [`SERVER_NOTICE`].
 const NO_LIMIT: &str = "-";
 const NOT_RUN: &str = "not-run";
 const UNKNOWN: &str = "unknown";
@@ -105,41 +107,42 @@
     ("silent", UnknownReason::Silent),
 ];
 
-/// The word for a reason, in headers, logs and metrics.
-pub fn not_run_word(reason: NotRunReason) -> &'static str {
-    word(&NOT_RUN_REASONS, reason)
+/// Returns the label of a reason why an attempt was not run, as used in headers, logs and metrics.
+pub fn not_run_label(reason: NotRunReason) -> &'static str {
+    label_of(&NOT_RUN_REASONS, reason)
 }
 
-/// The word for a reason, in headers, logs and metrics.
-pub fn unknown_word(reason: UnknownReason) -> &'static str {
-    word(&UNKNOWN_REASONS, reason)
+/// Returns the label of a reason why it is unknown whether an attempt ran, as used in headers, logs
+/// and metrics.
+pub fn unknown_label(reason: UnknownReason) -> &'static str {
+    label_of(&UNKNOWN_REASONS, reason)
 }
 
-/// The words for how an attempt ended, in logs and metrics; none if the server
-/// answered it.
-pub fn failure_words(end: &AttemptEnd) -> Option<(&'static str, &'static str)> {
+/// Returns the labels of an attempt's outcome and of the reason for it, as used in logs and metrics;
+/// none if the server answered the attempt.
+pub fn failure_labels(end: &AttemptEnd) -> Option<(&'static str, &'static str)> {
     match end {
         AttemptEnd::Answered => None,
-        AttemptEnd::NotRun { reason, .. } => Some((NOT_RUN, not_run_word(*reason))),
-        AttemptEnd::Unknown { reason } => Some((UNKNOWN, unknown_word(*reason))),
+        AttemptEnd::NotRun { reason, .. } => Some((NOT_RUN, not_run_label(*reason))),
+        AttemptEnd::Unknown { reason } => Some((UNKNOWN, unknown_label(*reason))),
     }
 }
 
-fn word<R: Copy + PartialEq>(words: &[(&'static str, R)], reason: R) -> &'static str {
+fn label_of<R: Copy + PartialEq>(words: &[(&'static str, R)], reason: R) -> &'static str {
     let found = words.iter().find(|(_, known)| *known == reason);
     found.map_or("other", |(word, _)| word)
 }
 
-fn reason<R: Copy>(words: &[(&'static str, R)], wanted: &str) -> Option<R> {
+fn reason_labelled<R: Copy>(words: &[(&'static str, R)], wanted: &str) -> Option<R> {
     let found = words.iter().find(|(word, _)| *word == wanted);
     found.map(|(_, reason)| *reason)
 }
 
-/// The value of [`OUTCOME`].
+/// Formats the value of [`OUTCOME`].
 pub fn outcome_value(end: &AttemptEnd) -> HeaderValue {
     let text = match end {
         AttemptEnd::Answered => return HeaderValue::from_static(ANSWERED),
-        AttemptEnd::Unknown { reason } => format!("{UNKNOWN} {}", unknown_word(*reason)),
+        AttemptEnd::Unknown { reason } => format!("{UNKNOWN} {}", unknown_label(*reason)),
         AttemptEnd::NotRun {
             offered,
             reason,
@@ -149,14 +152,14 @@
             let retry_after = retry_after.unwrap_or_default().as_millis();
             format!(
                 "{NOT_RUN} {} {offered} {retry_after}",
-                not_run_word(*reason)
+                not_run_label(*reason)
             )
         }
     };
-    HeaderValue::try_from(text).expect("the words are plain text")
+    HeaderValue::try_from(text).expect("the labels are plain text")
 }
 
-/// Reads [`OUTCOME`]; what can't be read counts as unknown.
+/// Parses [`OUTCOME`]. For a missing or malformed header it is unknown whether the attempt ran.
 pub fn outcome(headers: &HeaderMap) -> AttemptEnd {
     let value = headers.get(OUTCOME).and_then(|value| value.to_str().ok());
     value
@@ -171,11 +174,11 @@
     match words.next()? {
         ANSWERED => Some(AttemptEnd::Answered),
         UNKNOWN => {
-            let reason = reason(&UNKNOWN_REASONS, words.next()?)?;
+            let reason = reason_labelled(&UNKNOWN_REASONS, words.next()?)?;
             Some(AttemptEnd::Unknown { reason })
         }
         NOT_RUN => {
-            let reason = reason(&NOT_RUN_REASONS, words.next()?)?;
+            let reason = reason_labelled(&NOT_RUN_REASONS, words.next()?)?;
             let offered = words.next()? != "0";
             let retry_after = Duration::from_millis(words.next()?.parse().ok()?);
             let retry_after = (!retry_after.is_zero()).then_some(retry_after);
@@ -189,7 +192,7 @@
     }
 }
 
-/// The value of [`LOAD`].
+/// Formats the value of [`LOAD`].
 pub fn load_value(load: &ReportedLoad) -> HeaderValue {
     let Occupancy {
         running,
@@ -202,7 +205,7 @@
     HeaderValue::try_from(text).expect("digits and blanks")
 }
 
-/// Reads [`LOAD`].
+/// Parses [`LOAD`]; none if it is missing or malformed.
 pub fn load(headers: &HeaderMap) -> Option<ReportedLoad> {
     let value = headers.get(LOAD)?.to_str().ok()?;
     let mut numbers = value.split(' ').map(|number| number.parse::<u32>().ok());
@@ -220,7 +223,7 @@
     })
 }
 
-/// The value of [`SERVER_NOTICE`]; none if the server says nothing.
+/// Formats the value of [`SERVER_NOTICE`]; none if the server has sent no notice.
 pub fn server_notice_value(notice: ServerNotice) -> Option<HeaderValue> {
     if notice == ServerNotice::default() {
         return None;
@@ -231,7 +234,7 @@
     HeaderValue::try_from(format!("{limit} {is_leaving}")).ok()
 }
 
-/// Reads [`SERVER_NOTICE`].
+/// Parses [`SERVER_NOTICE`]; none if it is missing or malformed.
 pub fn server_notice(headers: &HeaderMap) -> Option<ServerNotice> {
     let value = headers.get(SERVER_NOTICE)?.to_str().ok()?;
     let (limit, is_leaving) = value.split_once(' ')?;
@@ -245,19 +248,19 @@
     })
 }
 
-/// The value of [`SNAPSHOT_VERSION`].
+/// Formats the value of [`SNAPSHOT_VERSION`].
 pub fn snapshot_version_value(version: SnapshotVersion) -> HeaderValue {
     let Revision { era, number } = version.revision;
     let text = format!("{number} {era} {}", version.configuration);
     HeaderValue::try_from(text).expect("digits and blanks")
 }
 
-/// Reads [`SNAPSHOT_VERSION`].
+/// Parses [`SNAPSHOT_VERSION`]; none if it is missing or malformed.
 pub fn snapshot_version(headers: &HeaderMap) -> Option<SnapshotVersion> {
     let value = headers.get(SNAPSHOT_VERSION)?.to_str().ok()?;
     let mut words = value.split(' ');
     let number = words.next()?.parse().ok()?;
-    // Nodes of an earlier release name the number alone.
+    // Nodes of an earlier release send the number of the revision alone.
     let mut next = || words.next().map_or(Some(0), |word| word.parse().ok());
     Some(SnapshotVersion {
         revision: Revision::new(next()?, number),
@@ -265,16 +268,16 @@
     })
 }
 
-/// The value of [`VIEW`].
+/// Formats the value of [`VIEW`].
 pub fn view_value(named: NamedAge) -> HeaderValue {
-    // A view must not seem younger than it is: its age is rounded up, and the time
-    // that is taken off it by who reads this is rounded down.
+    // A view must not appear fresher than it is: its age is rounded up, and the hold time, which
+    // the receiver subtracts, is rounded down.
     let age = named.age.as_micros().div_ceil(MICROS_IN_MILLISECOND);
     let held = named.held.as_millis();
     HeaderValue::try_from(format!("{age} {held}")).expect("digits and a blank")
 }
 
-/// Reads [`VIEW`].
+/// Parses [`VIEW`]; none if it is missing or malformed.
 pub fn view(headers: &HeaderMap) -> Option<NamedAge> {
     let mut words = headers.get(VIEW)?.to_str().ok()?.split(' ');
     let mut next = || Some(Duration::from_millis(words.next()?.parse().ok()?));
@@ -284,19 +287,19 @@
     })
 }
 
-/// What an attempt allows, and where it comes from.
+/// The zone that an attempt comes from, and whether it may be redirected or repeated.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Terms {
-    /// The zone that the request started in.
+pub struct AttemptTerms {
+    /// The zone of the node that the request's caller sent it to.
     pub zone: String,
-    /// Whether another server has room for it.
+    /// Whether the attempt may be refused because another server has capacity for it.
     pub may_go_elsewhere: bool,
-    /// Whether it can be sent again if its answer is lost.
+    /// Whether the request may be sent again if the answer to this attempt is lost.
     pub may_repeat: bool,
 }
 
-/// The value of [`TREE`].
-pub fn tree_value(tree: &TreePlace, terms: &Terms) -> HeaderValue {
+/// Formats the value of [`TREE`].
+pub fn tree_value(tree: &CallTreePlace, terms: &AttemptTerms) -> HeaderValue {
     let level = AdmissionLevel::of(tree.priority).0;
     let nested = u8::from(tree.is_nested);
     let repeat = u8::from(tree.is_repeat);
@@ -307,22 +310,22 @@
     HeaderValue::try_from(text).unwrap_or(HeaderValue::from_static(""))
 }
 
-/// Reads [`TREE`]; requests without one are the least important.
-pub fn tree(headers: &HeaderMap) -> (TreePlace, Terms) {
+/// Parses [`TREE`]. Attempts without it get the lowest priority.
+pub fn tree(headers: &HeaderMap) -> (CallTreePlace, AttemptTerms) {
     let value = headers.get(TREE).and_then(|value| value.to_str().ok());
     let mut words = value.unwrap_or_default().splitn(6, ' ');
     let mut next = || {
         let word = words.next().unwrap_or_default();
         word.parse::<u16>().unwrap_or_default()
     };
-    let place = TreePlace {
+    let place = CallTreePlace {
         priority: AdmissionLevel(next()).priority(),
         is_nested: next() != 0,
         is_repeat: next() != 0,
     };
     let may_go_elsewhere = next() != 0;
     let may_repeat = next() != 0;
-    let terms = Terms {
+    let terms = AttemptTerms {
         zone: words.next().unwrap_or_default().to_owned(),
         may_go_elsewhere,
         may_repeat,
@@ -330,22 +333,24 @@
     (place, terms)
 }
 
-/// Where the sender of a message takes messages itself.
+/// Parses [`NODE`], the address at which the sender of a message takes messages of other nodes; none
+/// if it is missing or malformed.
 pub fn sender(headers: &HeaderMap) -> Option<SocketAddrV4> {
     headers.get(NODE)?.to_str().ok()?.parse().ok()
 }
 
-/// Reads a header that holds a whole number.
+/// Parses the header `name`, which holds a number; none if it is missing or malformed.
 pub fn number<N: FromStr>(headers: &HeaderMap, name: &HeaderName) -> Option<N> {
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
-/// Reads a header that holds whole milliseconds.
+/// Parses the header `name`, which holds a duration in whole milliseconds; none if it is missing or
+/// malformed.
 pub fn milliseconds(headers: &HeaderMap, name: &HeaderName) -> Option<Duration> {
     number(headers, name).map(Duration::from_millis)
 }
 
-/// Drops all headers that only nodes may send.
+/// Removes all headers that only nodes may send.
 pub fn strip(headers: &mut HeaderMap) {
     remove_all(headers, |name| name.as_str().starts_with(PREFIX));
 }
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -1,4 +1,5 @@
-//! Whether a server that fell silent, or its node, can be trusted again.
+//! Probes a server that fell silent, through the node beside it, and excludes it from selection until
+//! it answers again.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,30 +18,30 @@
 use crate::{peer_headers, snapshots};
 
 /// How long a node may take to answer a probe.
-const ANSWER_LIMIT: Duration = Duration::from_millis(250);
-/// The largest answer that is read, bytes.
-const MAX_ANSWER: usize = 4096;
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// The largest answer to a probe that is read, in bytes.
+const MAX_ANSWER_BYTES: usize = 4096;
 
-/// What a probe finds.
+/// The result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
-    /// The node or its server doesn't answer.
+    /// The node does not answer, or its server is not available.
     Silent,
-    /// Both do.
+    /// The node answers and its server is available.
     Alive,
-    /// Both do, and the node has no attempt of the request that was asked for: it
-    /// never arrived, or its answer went out on a connection that is silent.
-    AttemptNotThere,
+    /// The node answers and its server is available, but the node has no attempt of the named request
+    /// in progress: the attempt never arrived, or its answer was sent on a connection that is silent.
+    AttemptNotFound,
 }
 
-/// The answer to a probe.
+/// Answers a probe of another node.
 pub fn answer(node: &Rc<Node>, headers: &HeaderMap) -> Response<ProxyBody> {
     let mut response = Response::new(ProxyBody::empty());
     if let Some(id) = headers.get(peer_headers::WAITING_FOR) {
         let id = id.to_str().unwrap_or_default();
         let word = match node.attempts_in_progress.contains(id) {
             true => peer_headers::IN_PROGRESS,
-            false => peer_headers::NOT_HERE,
+            false => peer_headers::NOT_IN_PROGRESS,
         };
         let value = HeaderValue::from_static(word);
         response
@@ -57,14 +58,18 @@
     node.takes_attempts() && !node.is_own_server_silent()
 }
 
-/// Asks the node beside `server`, on a new connection, whether it answers and finds
-/// its server alive, and whether it has an attempt of the request `waiting_for`.
+/// Probes the node beside `server` on a new connection: whether it answers and finds its server
+/// available, and whether it has an attempt of the request `waiting_for` in progress.
 ///
-/// On a kept connection, or without the request, a probe can't tell a silent
-/// connection from a run that takes long: after all kept connections had gone silent,
-/// a request that can be repeated was answered with 504 at its timeout of 2 s, and is
-/// now served within 1 s (test `silent_connections` on real processes).
-pub async fn ask(node: &Rc<Node>, server: &ServerInstance, waiting_for: Option<&str>) -> Liveness {
+/// On a reused connection, or without `waiting_for`, a probe could not distinguish a silent
+/// connection from a long run. Without this distinction, after all pooled connections had gone
+/// silent, a request that may be repeated was answered with 504 at its timeout of 2 s; with it, the
+/// request is served within 1 s (test `silent_connections` on real processes).
+pub async fn send_probe(
+    node: &Rc<Node>,
+    server: &ServerInstance,
+    waiting_for: Option<&str>,
+) -> Liveness {
     if node.is_beside(server) {
         return match is_own_server_available(node) {
             true => Liveness::Alive,
@@ -88,11 +93,13 @@
             .await
             .ok()?;
         let liveness = liveness(&response);
-        body::read(response.into_body(), MAX_ANSWER).await.ok()?;
+        body::read(response.into_body(), MAX_ANSWER_BYTES)
+            .await
+            .ok()?;
         lease.keep();
         Some(liveness)
     };
-    let answered = timeout(ANSWER_LIMIT, exchange).await;
+    let answered = timeout(PROBE_TIMEOUT, exchange).await;
     answered.ok().flatten().unwrap_or(Liveness::Silent)
 }
 
@@ -101,12 +108,12 @@
         return Liveness::Silent;
     }
     match response.headers().get(peer_headers::WAITING_FOR) {
-        Some(word) if word == peer_headers::NOT_HERE => Liveness::AttemptNotThere,
+        Some(word) if word == peer_headers::NOT_IN_PROGRESS => Liveness::AttemptNotFound,
         _ => Liveness::Alive,
     }
 }
 
-/// Sets `server` aside and probes it until it answers.
+/// Excludes `server` from selection, and probes it until it is available again.
 pub fn set_aside(node: &Rc<Node>, server: &ServerInstance, why: &str) {
     let now = node.now();
     let is_new = node.state.borrow_mut().servers.set_aside(now, &server.id);
@@ -125,7 +132,7 @@
             return;
         };
         sleep(delay).await;
-        let is_alive = ask(&node, &server, None).await == Liveness::Alive;
+        let is_alive = send_probe(&node, &server, None).await == Liveness::Alive;
         let now = node.now();
         let mut state = node.state.borrow_mut();
         state.servers.probed(now, &server.id, is_alive);
--- a/crates/proxy/src/request_content.rs
+++ b/crates/proxy/src/request_content.rs
@@ -1,4 +1,4 @@
-//! Recognizes requests that ask the same of a server.
+//! Fingerprints the content of requests, to recognize requests that are alike.
 
 use bytes::Bytes;
 use hyper::body::Body;
@@ -11,13 +11,13 @@
 use crate::http::ProxyBody;
 use crate::http::headers::host;
 
-/// The part of a body that counts, bytes: what a node holds of any body before it
-/// sends it on. Longer ones that begin alike and are of the same length count as
-/// the same.
-const COMPARED_BODY: usize = 256 * 1024;
+/// How much of the beginning of a body is part of the fingerprint, in bytes: as much as a node
+/// buffers of any body before it forwards it. Longer bodies that share their beginning and have the
+/// same length count as equal.
+const MAX_COMPARED_BODY_BYTES: usize = 256 * 1024;
 
-/// What a request from a machine of the service `caller` asks. It is the same at its
-/// caller's node and at its server's.
+/// Computes the content fingerprint of a request from a machine of the service `caller`. The caller's
+/// node and the server's node compute the same one.
 pub fn caller_content(caller: &str, head: &Parts, body: &ProxyBody) -> CallerContent {
     let target = head.uri.path_and_query();
     let content = RequestContent {
@@ -27,16 +27,16 @@
         body_length: body.size_hint().exact(),
     };
     CallerContent {
-        content: ContentFingerprint::of(&content, beginning(body)),
+        content: ContentFingerprint::of(&content, compared_part(body)),
         caller: ServiceName::new(caller),
     }
 }
 
-fn beginning(body: &ProxyBody) -> impl Iterator<Item = &[u8]> {
-    let mut left = COMPARED_BODY;
-    body.here().map(move |piece: &Bytes| {
-        let part = &piece[..piece.len().min(left)];
-        left -= part.len();
+fn compared_part(body: &ProxyBody) -> impl Iterator<Item = &[u8]> {
+    let mut bytes_left = MAX_COMPARED_BODY_BYTES;
+    body.here().map(move |chunk: &Bytes| {
+        let part = &chunk[..chunk.len().min(bytes_left)];
+        bytes_left -= part.len();
         part
     })
 }
--- a/crates/proxy/src/snapshots/asking.rs
+++ b/crates/proxy/src/snapshots/asking.rs
@@ -139,7 +139,7 @@
     let mut named = HeaderMap::new();
     name_snapshot(node, &mut named);
     let path = peer_headers::SNAPSHOT_PATH;
-    let fetched = peer_client::ask(node, from, path, named, ProxyBody::empty(), limit).await;
+    let fetched = peer_client::fetch(node, from, path, named, ProxyBody::empty(), limit).await;
     match fetched.and_then(with_revision) {
         Ok((update, headers)) => {
             take_update(node, &from.to_string(), update);
@@ -155,6 +155,6 @@
 fn with_revision(answer: (Update, HeaderMap)) -> Result<(Update, HeaderMap), FetchError> {
     match peer_headers::snapshot_version(&answer.1) {
         Some(_) => Ok(answer),
-        None => Err(FetchError::Unnamed),
+        None => Err(FetchError::NoSnapshotVersion),
     }
 }
--- a/crates/proxy/src/suspects/exchange.rs
+++ b/crates/proxy/src/suspects/exchange.rs
@@ -109,7 +109,7 @@
     let path = peer_headers::SUSPECTS_PATH;
     let mut headers = HeaderMap::new();
     add_digest_headers(node, &mut headers);
-    let fetched: Result<(SuspectReports, HeaderMap), FetchError> = peer_client::ask(
+    let fetched: Result<(SuspectReports, HeaderMap), FetchError> = peer_client::fetch(
         node,
         address,
         path,
--- a/crates/proxy/src/tenants/tokens.rs
+++ b/crates/proxy/src/tenants/tokens.rs
@@ -209,7 +209,7 @@
     let body = ProxyBody::Whole(bytes.into());
     let address = node.beside(server);
     let path = peer_headers::QUOTA_PATH;
-    let answered = peer_client::ask(node, address, path, HeaderMap::new(), body, limit).await;
+    let answered = peer_client::fetch(node, address, path, HeaderMap::new(), body, limit).await;
     let now = node.now();
     let mut state = node.state.borrow_mut();
     let missing_nodes = &mut state.tenants.missing_nodes;
