--- a/crates/proxy/src/inbound/admission.rs
+++ b/crates/proxy/src/inbound/admission.rs
@@ -155,10 +155,10 @@
     let is_needed = {
         let mut state = node.state.borrow_mut();
         let cannot_start = state.admission.waiting_in_vain(now);
-        node.turn_away_waiting(&mut state, &cannot_start);
+        node.refuse_waiting(&mut state, &cannot_start);
         state.admission.next_start(now).is_some()
     };
-    if !is_needed || node.is_starting_waiting.replace(true) {
+    if !is_needed || node.is_start_scheduled.replace(true) {
         return;
     }
     let node = node.clone();
@@ -169,7 +169,7 @@
             let started = state.admission.start_waiting(node.now());
             node.start_waiting(&mut state, started);
         }
-        node.is_starting_waiting.set(false);
+        node.is_start_scheduled.set(false);
     });
 }
 
--- a/crates/proxy/src/inbound/peer_port.rs
+++ b/crates/proxy/src/inbound/peer_port.rs
@@ -37,7 +37,7 @@
             node.last_request.set(Some(arrived));
         }
         if let Some(sender) = sender {
-            snapshots::note_snapshot(node, request.headers(), sender);
+            snapshots::fetch_if_newer(node, request.headers(), sender);
         }
         match request.uri().path() {
             peer_headers::SNAPSHOT_PATH => {
@@ -56,7 +56,7 @@
             None => AttemptOutcome::not_run(NotRunReason::WrongInstance),
         };
         let mut response = answer(node, outcome, tree.is_nested, &terms.zone);
-        snapshots::name_view(node, response.headers_mut(), arrived);
+        snapshots::add_view_headers(node, response.headers_mut(), arrived);
         response
     }
 
@@ -65,11 +65,11 @@
     }
 
     fn accept_refused(&self, error: &io::Error) {
-        self.0.note_accept_refused("inbound", error);
+        self.0.log_accept_refused("inbound", error);
     }
 
     fn accept_resumed(&self, refused: u32) {
-        self.0.note_accept_resumed("inbound", refused);
+        self.0.log_accept_resumed("inbound", refused);
     }
 }
 
@@ -90,7 +90,7 @@
     let (mut head, incoming) = request.into_parts();
     headers::remove_single_connection(&mut head.headers);
     let server = head.headers.get(&node.names.expected_instance)?;
-    let server = node.known_start(InstanceId::new(server.to_str().ok()?));
+    let server = node.known_instance(InstanceId::new(server.to_str().ok()?));
     let left = peer_headers::milliseconds(&head.headers, &node.names.deadline_ms);
     let patience = peer_headers::milliseconds(&head.headers, &peer_headers::PATIENCE);
     let limit_known_to_sender = peer_headers::number(&head.headers, &peer_headers::TOLD_LIMIT);
--- a/crates/proxy/src/inbound/server_notice.rs
+++ b/crates/proxy/src/inbound/server_notice.rs
@@ -50,7 +50,7 @@
     node.start_waiting(&mut state, started);
     if has_changed {
         let cannot_start = state.admission.waiting_in_vain(now);
-        node.turn_away_waiting(&mut state, &cannot_start);
+        node.refuse_waiting(&mut state, &cannot_start);
     }
 }
 
--- a/crates/proxy/src/node/mod.rs
+++ b/crates/proxy/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! The state of one process, shared by everything that runs on its thread.
+//! The state of one process, shared by all tasks of its thread.
 
 mod own_server;
 mod refresh;
@@ -45,70 +45,70 @@
 use crate::wire_names::WireNames;
 use lifthollow_transport::clock::Clock;
 
-/// How long a connection to another node may take.
-const PEER_CONNECT_LIMIT: Duration = Duration::from_millis(250);
-/// How long a connection to the server beside this node may take.
-const SERVER_CONNECT_LIMIT: Duration = Duration::from_millis(400);
-/// Requests that are let to the server before its slots are known.
-const UNKNOWN_SLOTS: u32 = 16;
-/// Size of a head unless the configuration says otherwise, bytes.
-const MAX_HEADER_BYTES: u64 = 16 * 1024;
-/// How long a connection may stay unused unless the configuration says otherwise.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Timeout for opening a connection to another node.
+const PEER_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout for opening a connection to the server beside this node.
+const SERVER_CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Number of requests that may run at the server at the same time before its slots are known.
+const DEFAULT_SERVER_SLOTS: u32 = 16;
+/// The largest request head that is accepted, in bytes, unless the configuration sets a limit.
+const DEFAULT_MAX_HEADER_BYTES: u64 = 16 * 1024;
+/// How long an accepted connection may stay unused, unless the configuration sets a time.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A node that nothing has reached for this long is idle.
+/// A node that no caller and no other node has sent a request for this long is idle.
 const IDLE_AFTER: Duration = Duration::from_secs(2);
 
-/// Decisions and what they know.
+/// The traffic decisions of a node, with the state that they depend on.
 pub struct TrafficState {
-    /// What was told from outside.
+    /// The configuration and the servers, as received from the source or other nodes.
     pub snapshots: SnapshotStore,
-    /// When that was last confirmed.
+    /// When the snapshot was last confirmed to be the source's newest.
     pub view: ViewFreshness,
-    /// The servers whose nodes watch the source for all, by address.
+    /// The addresses of the servers whose nodes watch the source for all nodes.
     pub watchers: Vec<SocketAddrV4>,
-    /// Those of them that stand in this node's zone.
+    /// The addresses in `watchers` that belong to servers in this node's zone.
     pub zone_watchers: Vec<SocketAddrV4>,
-    /// Servers that are new to this node, whose nodes it is to tell that there is a snapshot.
+    /// Servers that are new to this node, whose nodes are still to be notified of the snapshot.
     pub newcomers: Vec<SocketAddrV4>,
-    /// The routes in force; none before a configuration arrived.
+    /// The routes in force; none before the first configuration has arrived.
     pub routes: Option<Arc<RouteTable>>,
-    /// Splits of routes over services.
+    /// Chooses a service for each request on a route that is split over several services.
     pub split: WeightedSplit,
-    /// The servers.
+    /// The servers that requests may be sent to, with what is known of their load and failures.
     pub servers: ServerPool,
-    /// The server beside this node, as far as is known.
+    /// The server beside this node; none if the snapshot contains none.
     pub own_server: Option<InstanceId>,
-    /// Repeats that this node may send.
+    /// The budgets of repeated and hedged attempts that this node may send.
     pub budgets: RetryBudgets,
-    /// Admission to the server beside this node.
+    /// Admission of attempts to the server beside this node.
     pub admission: ServerAdmission,
-    /// What is at the server beside this node, in case that it crashes.
+    /// The requests that run at the server beside this node, to be reported if it crashes.
     pub server_runs: ServerRuns,
-    /// What the server beside this node ran well lately.
+    /// Contents of requests that the server beside this node recently ran successfully.
     pub served_lately: RecentContents,
-    /// Requests that may crash servers.
+    /// Reports about requests that may crash servers.
     pub suspects: Suspects,
-    /// Tenants, and how many requests they may send.
+    /// Tenants' keys and rate limits.
     pub tenants: TenantState,
-    /// Attempts that wait in the queue.
+    /// Attempts that wait in the queue, each with the channel that starts it.
     pub waiters: HashMap<Ticket, oneshot::Sender<()>>,
-    /// Random numbers.
+    /// Random number generator.
     pub random: SmallRng,
 }
 
-/// What a process is given of the machine that it runs on.
+/// What a process uses of its environment, so that a simulation can replace it.
 pub struct Surroundings {
-    /// Where connections come from and go to.
+    /// Opens and accepts connections.
     pub network: Rc<dyn Network>,
-    /// The source of everything random.
+    /// Random number generator for all random choices of the process.
     pub random: SmallRng,
-    /// The time.
+    /// The clock that all times are read from.
     pub clock: Clock,
 }
 
 impl Surroundings {
-    /// The machine's own network, and random numbers that nobody can foresee.
+    /// The system's network and clock, and a randomly seeded random number generator.
     pub fn of_system() -> Self {
         Surroundings {
             network: Rc::new(SystemNetwork),
@@ -118,65 +118,66 @@
     }
 }
 
-/// How far a planned stop has come.
+/// The progress of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// There is none.
+    /// No stop has begun.
     Serving,
-    /// The platform is told, and everything is served as before.
+    /// The node reports that it is not ready, but still serves everything as before.
     Announced,
-    /// Nothing new is sent to the server beside this node.
+    /// No new attempts are accepted for the server beside this node.
     Draining,
 }
 
-/// One process.
+/// The state of one traffic process.
 pub struct Node {
-    /// What it was told at its start.
+    /// The settings that the process was started with.
     pub settings: ProxySettings,
-    /// What callers and servers call their headers.
+    /// Names of the headers and paths used with callers, servers and the platform.
     pub names: WireNames,
-    /// The time.
+    /// The clock that all times are read from.
     pub clock: Clock,
-    /// Where connections come from and go to.
+    /// Opens and accepts connections.
     pub network: Rc<dyn Network>,
-    /// Decisions.
+    /// The traffic decisions, with the state that they depend on.
     pub state: RefCell<TrafficState>,
     /// Connections to the server beside this node.
     pub server_connections: Pool,
     /// Connections to other nodes.
     pub peer_connections: Pool,
-    /// Attempts of other nodes that are worked on here.
+    /// Attempts of other nodes that are in progress here.
     pub attempts_in_progress: AttemptsInProgress,
-    /// Whether the server beside this node has crashed.
+    /// Detects crashes of the server beside this node.
     pub crash_detector: CrashDetector,
-    /// What was logged of what the server beside this node says of itself.
+    /// What has been logged about the notices of the server beside this node.
     pub notice_log: NoticeLog,
-    /// How far this node is with learning which requests crash servers.
+    /// The state of the exchange of reports about requests that crash servers.
     pub report_exchange: ReportExchange,
-    /// Counters.
+    /// The metrics of the process.
     pub metrics: Rc<Metrics>,
-    /// The log.
+    /// The logger of the process.
     pub log: Logger,
-    /// Bound on lines about requests.
+    /// Rate limit of log lines about requests.
     pub line_limit: LineLimit,
-    /// How far a planned stop has come.
+    /// The progress of a planned stop.
     pub phase: Cell<Phase>,
     /// Whether the server beside this node was last found to fail its requests.
     pub is_server_failing: Cell<bool>,
-    /// Where this node takes messages of other nodes, as a header value.
+    /// The address at which this node takes messages of other nodes, as a header value.
     pub own_address: HeaderValue,
-    /// The snapshot as other nodes are sent it, with what is said of it.
+    /// The encoded snapshot that is sent to other nodes, with its version; none before the first use.
     pub encoded_snapshot: RefCell<Option<(SnapshotVersion, Bytes)>>,
-    /// Whether attempts that wait for the server's limit are being started.
-    pub is_starting_waiting: Cell<bool>,
+    /// Whether a task is running that starts attempts which wait for the server's rate limit.
+    pub is_start_scheduled: Cell<bool>,
     /// Whether an update is being fetched from another node.
     pub is_catching_up: Cell<bool>,
-    /// When a caller or another node last asked for something, if ever.
+    /// When a caller or another node last sent a request that needs a fresh view; none if that never
+    /// happened.
     pub last_request: Cell<Option<Timestamp>>,
 }
 
 impl Node {
-    /// A process that knows only its settings.
+    /// Creates the state of a process that has no snapshot yet.
     pub fn new(
         settings: ProxySettings,
         names: WireNames,
@@ -198,7 +199,7 @@
             servers: ServerPool::new(&settings.zone),
             own_server: None,
             budgets: RetryBudgets::new(settings.retry_bound),
-            admission: ServerAdmission::new(&settings.service, UNKNOWN_SLOTS),
+            admission: ServerAdmission::new(&settings.service, DEFAULT_SERVER_SLOTS),
             server_runs: ServerRuns::default(),
             served_lately: RecentContents::default(),
             suspects: Suspects::default(),
@@ -213,8 +214,8 @@
             names,
             clock,
             state: RefCell::new(state),
-            server_connections: Pool::new(network.clone(), clock, SERVER_CONNECT_LIMIT),
-            peer_connections: Pool::new(network.clone(), clock, PEER_CONNECT_LIMIT),
+            server_connections: Pool::new(network.clone(), clock, SERVER_CONNECT_TIMEOUT),
+            peer_connections: Pool::new(network.clone(), clock, PEER_CONNECT_TIMEOUT),
             attempts_in_progress: AttemptsInProgress::default(),
             crash_detector: CrashDetector::default(),
             notice_log: NoticeLog::default(),
@@ -224,7 +225,7 @@
             line_limit: LineLimit::default(),
             phase: Cell::new(Phase::Serving),
             encoded_snapshot: RefCell::default(),
-            is_starting_waiting: Cell::new(false),
+            is_start_scheduled: Cell::new(false),
             is_catching_up: Cell::new(false),
             last_request: Cell::new(None),
             is_server_failing: Cell::new(false),
@@ -232,38 +233,37 @@
         })
     }
 
-    /// The time now.
+    /// The current time.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// Whether callers can be served.
+    /// Whether the node can serve callers: it has routes, and no stop has begun.
     pub fn is_ready(&self) -> bool {
         self.phase.get() == Phase::Serving && self.state.borrow().routes.is_some()
     }
 
-    /// Whether new attempts for the server beside this node are taken.
+    /// Whether new attempts for the server beside this node are accepted.
     pub fn takes_attempts(&self) -> bool {
         self.phase.get() != Phase::Draining
     }
 
-    /// Revision of the snapshot.
+    /// The revision of this node's snapshot.
     pub fn revision(&self) -> Revision {
         self.snapshot_version().revision
     }
 
-    /// What this node says of its snapshot to others.
+    /// The version of this node's snapshot.
     pub fn snapshot_version(&self) -> SnapshotVersion {
         self.state.borrow().snapshots.version()
     }
 
-    /// Whether this node was told anything yet.
+    /// Whether this node has a snapshot.
     pub fn has_snapshot(&self) -> bool {
         !self.revision().is_none()
     }
 
-    /// Whether this node watches the source itself. One that knows of no other
-    /// node does.
+    /// Whether this node watches the source itself. A node that knows no watchers does.
     pub fn is_watcher(&self) -> bool {
         let state = self.state.borrow();
         state.watchers.is_empty() || state.watchers.contains(&self.settings.server_address)
@@ -276,68 +276,68 @@
         watchers.any(|server| self.beside(*server) == address)
     }
 
-    /// Whether this node knows of others that watch the source.
+    /// Whether this node knows other nodes that watch the source.
     pub fn knows_watchers(&self) -> bool {
         let state = self.state.borrow();
         let own = self.settings.server_address;
         state.watchers.iter().any(|address| *address != own)
     }
 
-    /// Whether a caller or another node has asked for something lately.
+    /// Whether a caller or another node has recently sent a request.
     pub fn is_busy(&self) -> bool {
         let now = self.now();
         let last = self.last_request.get();
         last.is_some_and(|last| now.saturating_since(last) < IDLE_AFTER)
     }
 
-    /// Whether the view is so fresh that the source need not be asked.
+    /// Whether the view is so fresh that the source need not be queried.
     pub fn is_view_fresh(&self) -> bool {
         let age = self.view_age();
         age.is_some_and(|age| age <= view_freshness::ACCEPTED_AGE)
     }
 
-    /// The time since the view was confirmed; none if it never was.
+    /// The time since the view was last confirmed; none if it never was.
     pub fn view_age(&self) -> Option<Duration> {
         self.state.borrow().view.age(self.now())
     }
 
-    /// The source had nothing newer at `at`, or later, than this node has.
+    /// Confirms the view: at `at` or later, the source had nothing newer than this node's snapshot.
     pub fn confirm_view(&self, at: Timestamp) {
         let now = self.now();
         self.state.borrow_mut().view.confirm(now, at);
     }
 
-    /// Version of the configuration in force; none before the first.
+    /// The version of the configuration in force; none before the first configuration.
     pub fn configuration_version(&self) -> Option<u64> {
         let state = self.state.borrow();
         state.routes.as_ref().map(|routes| routes.version())
     }
 
-    /// The system refused to accept a connection, for want of descriptors as a rule. Callers
-    /// wait until one is free.
-    pub fn note_accept_refused(&self, port: &str, error: &io::Error) {
+    /// Logs that the system refused to accept a connection, usually for lack of file descriptors.
+    /// Callers wait until a descriptor is free.
+    pub fn log_accept_refused(&self, port: &str, error: &io::Error) {
         warn!(self.log, "connections not accepted"; "port" => port, "error" => %error);
     }
 
-    /// The system accepts connections again, after `refused` refusals.
-    pub fn note_accept_resumed(&self, port: &str, refused: u32) {
+    /// Logs that the system accepts connections again, after `refused` refusals.
+    pub fn log_accept_resumed(&self, port: &str, refused: u32) {
         info!(self.log, "connections accepted again"; "port" => port, "refused" => refused);
     }
 
-    /// Whether a line about a request may be written now.
+    /// Whether a log line about a request may be written now.
     pub fn may_log(&self) -> bool {
         self.line_limit.allows(self.now())
     }
 
-    /// What callers may send and how long they may take.
+    /// The limits of a connection: the size of a request head and the idle time.
     pub fn connection_limits(&self) -> ConnectionLimits {
         let state = self.state.borrow();
         let snapshot = state.snapshots.snapshot();
         let limits = snapshot.configuration.as_ref().map(|known| known.limits);
         let limits = limits.unwrap_or_default();
         ConnectionLimits {
-            max_header_bytes: limits.max_header_bytes.unwrap_or(MAX_HEADER_BYTES) as usize,
-            idle_timeout: limits.idle_timeout.unwrap_or(IDLE_TIMEOUT),
+            max_header_bytes: limits.max_header_bytes.unwrap_or(DEFAULT_MAX_HEADER_BYTES) as usize,
+            idle_timeout: limits.idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT),
         }
     }
 }
--- a/crates/proxy/src/node/own_server.rs
+++ b/crates/proxy/src/node/own_server.rs
@@ -1,4 +1,5 @@
-//! The server beside a node: whether an attempt is for it, what is told of it, what waits for it.
+//! The server beside a node: whether it may run an attempt, the load that is reported for it, and the
+//! attempts that wait for it.
 
 use std::net::SocketAddrV4;
 
@@ -12,24 +13,24 @@
 use super::{Node, TrafficState};
 
 impl Node {
-    /// The address of the node beside a server.
+    /// The address at which the node beside `server` takes messages of other nodes.
     pub fn node_beside(&self, server: &ServerInstance) -> SocketAddrV4 {
         self.beside(server.address)
     }
 
-    /// The address of the node beside the server at `server`.
+    /// The address at which the node beside the server at `server` takes messages of other nodes.
     pub fn beside(&self, server: SocketAddrV4) -> SocketAddrV4 {
         SocketAddrV4::new(*server.ip(), self.settings.inbound.port())
     }
 
-    /// Whether the server stands beside this node.
+    /// Whether `server` is the server beside this node.
     pub fn is_beside(&self, server: &ServerInstance) -> bool {
         server.address == self.settings.server_address
     }
 
-    /// Whether an attempt for the server `id` can't be for the one beside this
-    /// node, or comes too late for it. Of a server that this node hasn't heard of
-    /// only the server itself can tell.
+    /// Returns why an attempt for the server instance `id` is refused: `id` is not the instance beside
+    /// this node, or that instance is leaving. Returns none for an instance that this node does not
+    /// know: only the server itself can tell whether it is the one.
     pub fn refusal_for(&self, id: &InstanceId) -> Option<NotRunReason> {
         let state = self.state.borrow();
         if state.admission.says_it_leaves(id) {
@@ -43,16 +44,18 @@
         (!known.instance.is_ready()).then_some(NotRunReason::ServerDraining)
     }
 
-    /// The start of the server `id` that this node knows. Between nodes and towards servers only
-    /// the identity is named: what was meant for the start before runs at this one. That costs
-    /// nothing, since it reached no server yet.
-    pub fn known_start(&self, id: InstanceId) -> InstanceId {
+    /// Returns the identifier of server `id` with the start of the server that this node knows.
+    /// Messages to nodes and servers carry only the server's identity: an attempt that was meant for
+    /// the server's previous start runs at the present one. That is safe, since the attempt has not
+    /// reached a server yet.
+    pub fn known_instance(&self, id: InstanceId) -> InstanceId {
         let state = self.state.borrow();
         let known = state.snapshots.snapshot().server(&id);
         known.map_or(id, |known| known.instance.id.clone())
     }
 
-    /// Whether a server is leaving, by the source or, if it stands beside this node, by its answers.
+    /// Whether a server is leaving, according to the source or, for the server beside this node, to its
+    /// answers.
     pub fn is_leaving(&self, id: &InstanceId) -> bool {
         let state = self.state.borrow();
         let known = state.snapshots.snapshot().server(id);
@@ -65,8 +68,8 @@
         self.state.borrow().admission.is_silent(self.now())
     }
 
-    /// The load of the server beside this node, as told to callers' nodes.
-    /// `zone` is that of the node that is told.
+    /// The load of the server beside this node, as reported to callers' nodes. `zone` is the zone of
+    /// the node that it is reported to.
     pub fn own_load(&self, is_nested: bool, zone: &str) -> ReportedLoad {
         let now = self.now();
         let state = self.state.borrow();
@@ -81,15 +84,16 @@
         }
     }
 
-    /// Ends the wait of attempts that would wait in vain.
-    pub fn turn_away_waiting(&self, state: &mut TrafficState, tickets: &[Ticket]) {
+    /// Ends the wait of attempts that can't be started in time.
+    pub fn refuse_waiting(&self, state: &mut TrafficState, tickets: &[Ticket]) {
         for ticket in tickets {
-            // Who waits finds its sender gone, and leaves the queue.
+            // Dropping the channel's sender wakes the waiting attempt, which then leaves the queue.
             state.waiters.remove(ticket);
         }
     }
 
-    /// Starts attempts that no longer have to wait.
+    /// Starts the queued attempts that are next. If one of them no longer waits, its slot goes to
+    /// another.
     pub fn start_waiting(&self, state: &mut TrafficState, tickets: Vec<Ticket>) {
         for ticket in tickets {
             let started = state.waiters.remove(&ticket).map(|waiter| waiter.send(()));
--- a/crates/proxy/src/node/refresh.rs
+++ b/crates/proxy/src/node/refresh.rs
@@ -1,5 +1,5 @@
-//! What follows from a new snapshot: routes, servers, who watches the source, the limit of the
-//! server beside the node.
+//! Applies a new snapshot to the node's state: routes, servers, the nodes that watch the source, and
+//! the concurrency limit of the server beside the node.
 
 use std::collections::HashSet;
 use std::net::SocketAddrV4;
@@ -11,12 +11,12 @@
 
 use super::{Node, TrafficState};
 
-/// Share of a server's slots that is used; many servers slow down when they are
-/// nearly full.
-const USED_SLOTS: f64 = 0.95;
+/// The share of a server's slots that is used: many servers slow down when nearly all of their slots
+/// are occupied.
+const USED_SLOT_SHARE: f64 = 0.95;
 
 impl Node {
-    /// Brings routes, servers and limits in line with the snapshot.
+    /// Updates routes, servers and limits to the current snapshot.
     pub fn refresh(&self, state: &mut TrafficState) {
         let now = self.now();
         let snapshot = state.snapshots.snapshot().clone();
@@ -25,7 +25,7 @@
         }
         let servers = state.snapshots.servers_in_force();
         self.refresh_watchers(state, &servers);
-        self.refresh_queue(state, &servers);
+        self.refresh_admission(state, &servers);
         state.budgets.set_nodes(servers.len());
         state.tenants.set_servers(now, &servers);
         state.servers.set_servers(now, servers);
@@ -34,8 +34,8 @@
         self.metrics.snapshot_revision.set(revision.number as i64);
     }
 
-    /// Finds out which nodes watch the source. While no server is known, those of before do:
-    /// otherwise all would.
+    /// Updates which nodes watch the source. While no server is known, the previous watchers remain:
+    /// otherwise all nodes would watch it.
     fn refresh_watchers(&self, state: &mut TrafficState, servers: &[ServerInstance]) {
         if servers.is_empty() {
             return;
@@ -51,7 +51,8 @@
             .collect();
         let watchers = state.watchers.iter().copied();
         state.zone_watchers = watchers.filter(|address| zone.contains(address)).collect();
-        // One that is no longer chosen may know of those newcomers alone that are chosen now.
+        // Done also by a node that was a watcher until now: it may be the only one that knows the
+        // new servers, which are watchers now.
         if was_watcher || state.watchers.contains(&own) {
             let known = &state.servers;
             let is_new = |address: &SocketAddrV4| *address != own && !known.has_address(*address);
@@ -77,7 +78,7 @@
             .set(configuration.version as i64);
     }
 
-    fn refresh_queue(&self, state: &mut TrafficState, servers: &[ServerInstance]) {
+    fn refresh_admission(&self, state: &mut TrafficState, servers: &[ServerInstance]) {
         let own = servers.iter().find(|server| self.is_beside(server));
         let own_id = own.map(|server| server.id.clone());
         if let Some(own_id) = own_id
@@ -85,13 +86,14 @@
             .filter(|id| state.own_server.as_ref() != Some(id))
         {
             state.admission.server_started(self.now(), own_id);
-            // Connections to the start before are gone, and would cost a request each.
+            // Connections to the previous start of the server are closed; each would make a request
+            // fail.
             self.server_connections
                 .close_idle(self.settings.server_address);
         }
         state.own_server = own_id;
         if let Some(own) = own {
-            let used = (f64::from(own.slots) * USED_SLOTS).floor() as u32;
+            let used = (f64::from(own.slots) * USED_SLOT_SHARE).floor() as u32;
             let limit = used.min(max_connections(state, &own.service)).max(1);
             let started = state.admission.set_limit(self.now(), limit);
             self.start_waiting(state, started);
@@ -99,7 +101,7 @@
     }
 }
 
-/// The most connections that a server of `service` takes; each run needs one.
+/// The largest number of connections that a server of `service` accepts; each run needs one.
 fn max_connections(state: &TrafficState, service: &str) -> u32 {
     let snapshot = state.snapshots.snapshot();
     let configuration = snapshot.configuration.as_ref();
--- a/crates/proxy/src/outbound/mod.rs
+++ b/crates/proxy/src/outbound/mod.rs
@@ -75,11 +75,11 @@
     }
 
     fn accept_refused(&self, error: &io::Error) {
-        self.0.note_accept_refused("outbound", error);
+        self.0.log_accept_refused("outbound", error);
     }
 
     fn accept_resumed(&self, refused: u32) {
-        self.0.note_accept_resumed("outbound", refused);
+        self.0.log_accept_resumed("outbound", refused);
     }
 }
 
--- a/crates/proxy/src/outbound/send.rs
+++ b/crates/proxy/src/outbound/send.rs
@@ -144,7 +144,7 @@
         headers.insert(peer_headers::TOLD_LIMIT, limit);
     }
     headers.insert(peer_headers::PATIENCE, milliseconds_value(attempt.patience));
-    snapshots::name_snapshot(node, headers);
+    snapshots::add_snapshot_headers(node, headers);
     let answered = node
         .peer_connections
         .send(address, attempt.request, attempt.reuse)
@@ -162,8 +162,8 @@
     };
     has_answer_begun.set(true);
     let (mut head, incoming) = response.into_parts();
-    snapshots::note_snapshot(node, &head.headers, address);
-    snapshots::note_view(node, &head.headers, asked);
+    snapshots::fetch_if_newer(node, &head.headers, address);
+    snapshots::update_view_age(node, &head.headers, asked);
     let report = ServerReport {
         load: peer_headers::load(&head.headers),
         notice: peer_headers::server_notice(&head.headers),
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -81,7 +81,7 @@
     *request.uri_mut() = hyper::Uri::from_static(peer_headers::PROBE_PATH);
     let host = HeaderValue::try_from(address.to_string()).expect("an address is plain text");
     request.headers_mut().insert(HOST, host);
-    snapshots::name_snapshot(node, request.headers_mut());
+    snapshots::add_snapshot_headers(node, request.headers_mut());
     if let Some(id) = waiting_for.and_then(|id| HeaderValue::try_from(id).ok()) {
         let headers = request.headers_mut();
         headers.insert(peer_headers::WAITING_FOR, id);
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -255,11 +255,11 @@
     }
 
     fn accept_refused(&self, error: &io::Error) {
-        self.0.note_accept_refused("readiness", error);
+        self.0.log_accept_refused("readiness", error);
     }
 
     fn accept_resumed(&self, refused: u32) {
-        self.0.note_accept_resumed("readiness", refused);
+        self.0.log_accept_resumed("readiness", refused);
     }
 }
 
@@ -288,10 +288,10 @@
     }
 
     fn accept_refused(&self, error: &io::Error) {
-        self.0.note_accept_refused("metrics", error);
+        self.0.log_accept_refused("metrics", error);
     }
 
     fn accept_resumed(&self, refused: u32) {
-        self.0.note_accept_resumed("metrics", refused);
+        self.0.log_accept_resumed("metrics", refused);
     }
 }
--- a/crates/proxy/src/snapshots/asking.rs
+++ b/crates/proxy/src/snapshots/asking.rs
@@ -1,4 +1,4 @@
-//! What a node asks others about the snapshot, and whom.
+//! Queries other nodes for changes of the snapshot, and notifies them of its own.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -11,53 +11,55 @@
 use rand::seq::IteratorRandom;
 use slog::warn;
 
-use super::{name_snapshot, note_view, take_update};
+use super::{add_snapshot_headers, apply_update, update_view_age};
 use crate::http::ProxyBody;
 use crate::node::Node;
 use crate::peer_client::{self, FetchError};
 use crate::peer_headers;
 
-/// A node that watches the source waits this long for it before it asks another
-/// node.
+/// How long a node that watches the source waits for changes from the source itself before it fetches
+/// them from another node.
 const WATCHER_DELAY: Duration = Duration::from_millis(300);
-/// The longest time that a node which is ahead may take to answer.
-const FETCH_LIMIT: Duration = Duration::from_millis(800);
-/// The longest time that a node which watches the source may take to answer,
-/// before another one or the source is asked.
-const ASK_LIMIT: Duration = Duration::from_millis(200);
-/// The longest time that a node which watches the source waits for another one to spare it a
-/// question. Short, as listeners count on its view.
-const OTHER_WATCHER_LIMIT: Duration = Duration::from_millis(60);
-/// How many nodes that watch the source are asked before the source itself.
-const WATCHERS_ASKED: usize = 2;
-/// How many newcomers are told at a time that there is a snapshot: each fetches it at once.
-const TOLD_AT_A_TIME: usize = 16;
+/// Timeout of a fetch from a node that has a newer snapshot, or when this node has none.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeout of a query to a node that watches the source, before another such node or the source is
+/// queried.
+const WATCHER_QUERY_TIMEOUT: Duration = Duration::from_millis(200);
+/// Timeout of a query from one node that watches the source to another, which may make a query to the
+/// source unnecessary. Short, because the other nodes depend on this node's view.
+const OTHER_WATCHER_TIMEOUT: Duration = Duration::from_millis(60);
+/// The largest number of nodes that watch the source that are queried before the source itself.
+const MAX_WATCHERS_QUERIED: usize = 2;
+/// How many new nodes are notified of the snapshot at the same time: each fetches it immediately.
+const NEWCOMERS_NOTIFIED_AT_ONCE: usize = 16;
 
-/// Fetches what this node lacks from one that has said that it has it.
+/// Fetches the changes that this node lacks from the node at `from`, whose snapshot is at version
+/// `theirs`.
 pub(super) async fn catch_up(node: Rc<Node>, theirs: SnapshotVersion, from: SocketAddrV4) {
-    // Without a snapshot there is nothing to wait for: callers are turned away.
+    // A node without a snapshot does not wait: it refuses all callers until it has one.
     if node.has_snapshot() && node.is_watcher() {
         tokio::time::sleep(WATCHER_DELAY).await;
     }
     if node.snapshot_version().lacks(theirs) {
-        fetch_update(&node, from, FETCH_LIMIT).await;
+        fetch_update(&node, from, FETCH_TIMEOUT).await;
     }
     node.is_catching_up.set(false);
 }
 
-/// Asks nodes that watch the source what this one lacks, until its view is fresh.
-pub async fn ask_watchers(node: &Rc<Node>) {
-    for address in drawn_watchers(node) {
-        fetch_update(node, address, ASK_LIMIT).await;
+/// Fetches the changes that this node lacks from nodes that watch the source, until its view is
+/// fresh.
+pub async fn query_watchers(node: &Rc<Node>) {
+    for address in random_watchers(node) {
+        fetch_update(node, address, WATCHER_QUERY_TIMEOUT).await;
         if node.is_view_fresh() {
             return;
         }
     }
 }
 
-/// Asks another node that watches the source whether it has asked that a moment ago, which
-/// spares a question of this one. False if it has not.
-pub async fn ask_another_watcher(node: &Rc<Node>) -> bool {
+/// Queries another node that watches the source. Returns whether that made this node's view fresh
+/// enough to omit its own query to the source.
+pub async fn query_another_watcher(node: &Rc<Node>) -> bool {
     let other = {
         let others = other_watchers(node).into_iter();
         others.choose(&mut node.state.borrow_mut().random)
@@ -65,13 +67,13 @@
     let Some(other) = other else {
         return false;
     };
-    fetch_update(node, other, OTHER_WATCHER_LIMIT).await;
+    fetch_update(node, other, OTHER_WATCHER_TIMEOUT).await;
     let age = node.view_age();
     age.is_some_and(|age| age <= view_freshness::SPARED_AGE)
 }
 
-/// Some of the nodes that watch the source, those of the own zone first.
-fn drawn_watchers(node: &Rc<Node>) -> Vec<SocketAddrV4> {
+/// Selects random nodes that watch the source, those in this node's zone first.
+fn random_watchers(node: &Rc<Node>) -> Vec<SocketAddrV4> {
     let others = other_watchers(node);
     let mut state = node.state.borrow_mut();
     let is_near = |node_address: &SocketAddrV4| {
@@ -80,52 +82,55 @@
             .any(|address| address == *node_address)
     };
     let (near, far): (Vec<_>, Vec<_>) = others.into_iter().partition(is_near);
-    let mut drawn = near.into_iter().sample(&mut state.random, WATCHERS_ASKED);
-    let left = WATCHERS_ASKED - drawn.len();
-    drawn.extend(far.into_iter().sample(&mut state.random, left));
-    drawn
+    let mut selected = near
+        .into_iter()
+        .sample(&mut state.random, MAX_WATCHERS_QUERIED);
+    let left = MAX_WATCHERS_QUERIED - selected.len();
+    selected.extend(far.into_iter().sample(&mut state.random, left));
+    selected
 }
 
-/// Asks the nodes beside `servers` for a snapshot, one after the other, until there is one.
-pub async fn ask_for_snapshot(node: &Rc<Node>, servers: Vec<SocketAddrV4>) {
+/// Fetches a snapshot from the nodes beside `servers`, one after another, until this node has one.
+pub async fn fetch_snapshot(node: &Rc<Node>, servers: Vec<SocketAddrV4>) {
     for server in servers {
         if node.has_snapshot() {
             return;
         }
-        fetch_update(node, node.beside(server), FETCH_LIMIT).await;
+        fetch_update(node, node.beside(server), FETCH_TIMEOUT).await;
     }
 }
 
-/// Tells the nodes beside servers that are new that there is a snapshot: they may be starting
-/// and know nobody.
-pub(super) fn tell_newcomers(node: &Rc<Node>) {
+/// Notifies the nodes beside new servers that there is a snapshot: they may be starting and know no
+/// other node.
+pub(super) fn notify_newcomers(node: &Rc<Node>) {
     let newcomers = std::mem::take(&mut node.state.borrow_mut().newcomers);
     if newcomers.is_empty() {
         return;
     }
     let node = node.clone();
     tokio::task::spawn_local(async move {
-        for some in newcomers.chunks(TOLD_AT_A_TIME) {
-            // The question names this node's revision.
-            let questions = some.iter().map(|server| node.beside(*server));
-            join_all(questions.map(|address| fetch_update(&node, address, ASK_LIMIT))).await;
+        for batch in newcomers.chunks(NEWCOMERS_NOTIFIED_AT_ONCE) {
+            // The query carries this node's revision, so that the other node can fetch it.
+            let queries = batch.iter().map(|server| node.beside(*server));
+            join_all(queries.map(|address| fetch_update(&node, address, WATCHER_QUERY_TIMEOUT)))
+                .await;
         }
     });
 }
 
-/// Tells the nodes that watch the source what this one has learned from it: the
-/// source may refuse them all.
-pub fn tell_watchers(node: &Rc<Node>) {
+/// Notifies the nodes that watch the source of this node's revision, which it has read from the
+/// source: the source may be refusing all of them.
+pub fn notify_watchers(node: &Rc<Node>) {
     for address in other_watchers(node) {
         let node = node.clone();
         tokio::task::spawn_local(async move {
-            // The question names this node's revision.
-            fetch_update(&node, address, ASK_LIMIT).await;
+            // The query carries this node's revision, so that the other node can fetch it.
+            fetch_update(&node, address, WATCHER_QUERY_TIMEOUT).await;
         });
     }
 }
 
-/// The nodes that watch the source, but for this one.
+/// Returns the addresses of the nodes that watch the source, except this node.
 fn other_watchers(node: &Rc<Node>) -> Vec<SocketAddrV4> {
     let state = node.state.borrow();
     let own = node.settings.server_address;
@@ -133,17 +138,18 @@
     others.map(|server| node.beside(*server)).collect()
 }
 
-/// Asks the node at `from` for what this one lacks. The question names this node's revision.
+/// Fetches the changes that this node lacks from the node at `from`. The query carries this node's
+/// revision.
 async fn fetch_update(node: &Rc<Node>, from: SocketAddrV4, limit: Duration) {
-    let asked = node.now();
-    let mut named = HeaderMap::new();
-    name_snapshot(node, &mut named);
+    let sent_at = node.now();
+    let mut headers = HeaderMap::new();
+    add_snapshot_headers(node, &mut headers);
     let path = peer_headers::SNAPSHOT_PATH;
-    let fetched = peer_client::fetch(node, from, path, named, ProxyBody::empty(), limit).await;
-    match fetched.and_then(with_revision) {
+    let fetched = peer_client::fetch(node, from, path, headers, ProxyBody::empty(), limit).await;
+    match fetched.and_then(require_revision) {
         Ok((update, headers)) => {
-            take_update(node, &from.to_string(), update);
-            note_view(node, &headers, asked);
+            apply_update(node, &from.to_string(), update);
+            update_view_age(node, &headers, sent_at);
         }
         Err(error) => {
             warn!(node.log, "update not fetched"; "from" => %from, "error" => %error,
@@ -152,7 +158,7 @@
     }
 }
 
-fn with_revision(answer: (Update, HeaderMap)) -> Result<(Update, HeaderMap), FetchError> {
+fn require_revision(answer: (Update, HeaderMap)) -> Result<(Update, HeaderMap), FetchError> {
     match peer_headers::snapshot_version(&answer.1) {
         Some(_) => Ok(answer),
         None => Err(FetchError::NoSnapshotVersion),
--- a/crates/proxy/src/snapshots/mod.rs
+++ b/crates/proxy/src/snapshots/mod.rs
@@ -1,8 +1,8 @@
-//! What comes from outside: applied, and passed on between nodes.
+//! Applies changes of configuration and servers to the snapshot, and exchanges them between nodes.
 //!
-//! Few nodes watch the source. Every message between nodes names the sender's
-//! revision, and every answer how long ago that was known to be the newest. A node
-//! that is behind fetches what it lacks from a node that is ahead ([`asking`]).
+//! Few nodes watch the source. Every message between nodes carries the sender's revision, and every
+//! answer also how long ago that revision was known to be the newest. A node that is behind fetches
+//! the changes that it lacks from a node that is ahead ([`asking`]).
 
 pub mod asking;
 
@@ -22,8 +22,8 @@
 use crate::peer_headers;
 use crate::suspects::exchange;
 
-/// Takes in changes that the source tells of; all up to `revision` are included.
-pub fn apply(node: &Rc<Node>, revision: Revision, changes: Vec<RevisedChange>) {
+/// Applies changes from the source, which include all changes up to `revision`.
+pub fn apply_changes(node: &Rc<Node>, revision: Revision, changes: Vec<RevisedChange>) {
     let now = node.now();
     let mut state = node.state.borrow_mut();
     let mut applied = Vec::new();
@@ -39,11 +39,11 @@
         node.refresh(&mut state);
     }
     drop(state);
-    note_applied(node, "source", &applied);
+    handle_applied(node, "source", &applied);
 }
 
-/// Takes in a whole snapshot, from the source or another node.
-pub fn replace(node: &Rc<Node>, from: &str, snapshot: Snapshot) {
+/// Applies a whole snapshot, from the source or another node. `from` names its origin in the log.
+pub fn replace_snapshot(node: &Rc<Node>, from: &str, snapshot: Snapshot) {
     let now = node.now();
     let mut state = node.state.borrow_mut();
     let before = state.snapshots.version();
@@ -51,11 +51,11 @@
     node.refresh(&mut state);
     drop(state);
     log_new_era(node, from, before);
-    note_applied(node, from, &applied);
+    handle_applied(node, from, &applied);
 }
 
-/// Takes in what another node has sent.
-fn take_update(node: &Rc<Node>, from: &str, update: Update) {
+/// Applies an update that another node has sent.
+fn apply_update(node: &Rc<Node>, from: &str, update: Update) {
     let now = node.now();
     let mut state = node.state.borrow_mut();
     let before = state.snapshots.version();
@@ -69,16 +69,17 @@
         .changes
         .with_label_values(&["node"])
         .inc_by(applied.len() as u64);
-    note_applied(node, from, &applied);
+    handle_applied(node, from, &applied);
 }
 
-fn note_applied(node: &Rc<Node>, from: &str, applied: &[Applied]) {
+fn handle_applied(node: &Rc<Node>, from: &str, applied: &[Applied]) {
     log_applied(node, from, applied);
     exchange::query_at_start(node);
-    asking::tell_newcomers(node);
+    asking::notify_newcomers(node);
 }
 
-/// Logs that the source has lost changes, and what this node keeps of what it knew.
+/// Logs a change of the revision's era, which means that the source has lost changes, with the
+/// versions before and after it.
 fn log_new_era(node: &Rc<Node>, from: &str, before: SnapshotVersion) {
     let after = node.snapshot_version();
     if before.revision.is_none() || after.revision.era == before.revision.era {
@@ -91,8 +92,8 @@
 
 fn log_applied(node: &Rc<Node>, from: &str, applied: &[Applied]) {
     let revision = node.revision();
-    for one in applied {
-        if let Applied::Refused(findings) = one {
+    for result in applied {
+        if let Applied::Refused(findings) = result {
             let findings: Vec<String> = findings.iter().map(ToString::to_string).collect();
             warn!(node.log, "configuration refused"; "from" => from, "revision" => %revision, "findings" => findings.join("; "));
         }
@@ -109,53 +110,54 @@
     }
 }
 
-/// The answer to a node that asks for what it lacks: it names the revision that
-/// it has.
+/// Answers a node that fetches the changes which it lacks. The request's headers carry that node's
+/// snapshot version.
 pub fn answer(node: &Rc<Node>, headers: &HeaderMap, arrived: Timestamp) -> Response<ProxyBody> {
-    let theirs = peer_headers::snapshot_version(headers).unwrap_or_default();
-    let needs_whole = node.state.borrow().snapshots.needs_whole(theirs);
+    let their_version = peer_headers::snapshot_version(headers).unwrap_or_default();
+    let needs_whole = node.state.borrow().snapshots.needs_whole(their_version);
     let bytes = match needs_whole {
         true => encoded_snapshot(node),
-        false => encoded_update_since(node, theirs),
+        false => encoded_update_since(node, their_version),
     };
     let mut response = Response::new(ProxyBody::Whole(bytes));
-    name_view(node, response.headers_mut(), arrived);
+    add_view_headers(node, response.headers_mut(), arrived);
     response
 }
 
-/// The whole snapshot, encoded once for all that ask for it: many nodes start at the same time.
+/// Returns the whole encoded snapshot, cached for all nodes that fetch it: many nodes start at the
+/// same time.
 fn encoded_snapshot(node: &Rc<Node>) -> Bytes {
     let version = node.snapshot_version();
-    let mut kept = node.encoded_snapshot.borrow_mut();
-    if let Some((of, bytes)) = kept.as_ref()
+    let mut cached = node.encoded_snapshot.borrow_mut();
+    if let Some((of, bytes)) = cached.as_ref()
         && *of == version
     {
         return bytes.clone();
     }
     let bytes = encoded_update_since(node, SnapshotVersion::default());
-    *kept = Some((version, bytes.clone()));
+    *cached = Some((version, bytes.clone()));
     bytes
 }
 
-/// What a node lacks whose snapshot is of `theirs`, encoded.
-fn encoded_update_since(node: &Rc<Node>, theirs: SnapshotVersion) -> Bytes {
-    let update = node.state.borrow().snapshots.update_since(theirs);
+/// Encodes the changes that a node with snapshot version `their_version` lacks.
+fn encoded_update_since(node: &Rc<Node>, their_version: SnapshotVersion) -> Bytes {
+    let update = node.state.borrow().snapshots.update_since(their_version);
     let bytes = minicbor::to_vec(&update).expect("writing to memory does not fail");
     bytes.into()
 }
 
-/// Tells another node of which revision this one's snapshot is and what it knows of requests
-/// that crash servers, and where to ask for both.
-pub fn name_snapshot(node: &Rc<Node>, headers: &mut HeaderMap) {
+/// Adds to a message's headers the version of this node's snapshot, the digest of its reports about
+/// requests that crash servers, and the address to fetch both from.
+pub fn add_snapshot_headers(node: &Rc<Node>, headers: &mut HeaderMap) {
     let version = peer_headers::snapshot_version_value(node.snapshot_version());
     headers.insert(peer_headers::SNAPSHOT_VERSION, version);
     exchange::add_digest_headers(node, headers);
 }
 
-/// Tells another node, with the answer to a question that arrived at `arrived`, which
-/// revision this one has and how fresh that is.
-pub fn name_view(node: &Rc<Node>, headers: &mut HeaderMap, arrived: Timestamp) {
-    name_snapshot(node, headers);
+/// Adds to the headers of an answer which revision this node has and how fresh it is. The request
+/// that is answered arrived at `arrived`.
+pub fn add_view_headers(node: &Rc<Node>, headers: &mut HeaderMap, arrived: Timestamp) {
+    add_snapshot_headers(node, headers);
     if let Some(age) = node.view_age() {
         let held = node.now().saturating_since(arrived);
         let value = peer_headers::view_value(NamedAge { age, held });
@@ -163,29 +165,29 @@
     }
 }
 
-/// Takes note of what another node says of its snapshot, and of what it knows of requests
-/// that crash servers.
-pub fn note_snapshot(node: &Rc<Node>, headers: &HeaderMap, from: SocketAddrV4) {
+/// Fetches what this node lacks from the node at `from`, if the headers of its message name a newer
+/// snapshot or a different digest of reports about requests that crash servers.
+pub fn fetch_if_newer(node: &Rc<Node>, headers: &HeaderMap, from: SocketAddrV4) {
     exchange::fetch_if_digest_differs(node, headers, from);
-    let Some(theirs) = peer_headers::snapshot_version(headers) else {
+    let Some(their_version) = peer_headers::snapshot_version(headers) else {
         return;
     };
-    if node.snapshot_version().lacks(theirs) && !node.is_catching_up.replace(true) {
-        tokio::task::spawn_local(asking::catch_up(node.clone(), theirs, from));
+    if node.snapshot_version().lacks(their_version) && !node.is_catching_up.replace(true) {
+        tokio::task::spawn_local(asking::catch_up(node.clone(), their_version, from));
     }
 }
 
-/// Takes note of what another node's answer to a question of `asked` says of its view.
-/// If the source had nothing newer than what that node has, it had nothing newer
-/// than what this node has, which is the same or more.
-pub fn note_view(node: &Rc<Node>, headers: &HeaderMap, asked: Timestamp) {
-    let theirs = peer_headers::snapshot_version(headers);
-    if theirs.is_none_or(|theirs| theirs.revision > node.revision()) {
+/// Updates the age of this node's view from another node's answer to a request sent at `sent_at`. If
+/// the source had nothing newer than that node's revision, it had nothing newer than this node's,
+/// which is the same or later.
+pub fn update_view_age(node: &Rc<Node>, headers: &HeaderMap, sent_at: Timestamp) {
+    let their_version = peer_headers::snapshot_version(headers);
+    if their_version.is_none_or(|their_version| their_version.revision > node.revision()) {
         return;
     }
-    if let Some(named) = peer_headers::view(headers) {
+    if let Some(reported) = peer_headers::view(headers) {
         let now = node.now();
-        let age = named.at_most(now.saturating_since(asked));
+        let age = reported.at_most(now.saturating_since(sent_at));
         node.confirm_view(now.saturating_sub(age));
     }
 }
--- a/crates/proxy/src/source/mod.rs
+++ b/crates/proxy/src/source/mod.rs
@@ -1,7 +1,7 @@
 //! Follows the source of configuration and servers.
 //!
-//! What is asked, and when, is decided by [`Follower`]; this module asks, and hands over what
-//! comes of it. How the source is spoken to is told by an adapter, the [`Source`].
+//! [`Follower`] decides which query is sent and when; this module sends the queries and applies their
+//! results to the node. An adapter, the [`Source`], implements the protocol of the source.
 
 mod watching;
 
@@ -20,40 +20,40 @@
 use crate::node::Node;
 use crate::snapshots::{self, asking};
 
-/// Why the source gave no answer.
+/// Why a query to the source failed.
 #[derive(Debug, Error)]
 pub enum SourceError {
-    /// It no longer knows the changes since the revision that was named.
+    /// The source no longer has the changes since the named revision.
     #[error("history is gone")]
     HistoryGone,
-    /// It can't be reached, refuses, or isn't understood.
+    /// The source can't be reached, refuses the query, or sends an invalid answer.
     #[error("{0}")]
     Unavailable(String),
 }
 
-/// What the source tells of what has changed.
+/// Changes that the source reports.
 pub struct Changes {
-    /// The revision that they lead to.
+    /// The source's revision after these changes.
     pub revision: Revision,
-    /// How many there are, also such as mean nothing to a node.
+    /// The number of all reported changes, including those that do not concern nodes.
     pub told: usize,
-    /// Those that mean something.
+    /// The changes that concern nodes.
     pub changes: Vec<RevisedChange>,
 }
 
 /// The source of configuration and servers.
 pub trait Source {
-    /// Reads servers' announcements, some of many if there are many. The answer may be old: it
-    /// only tells where other nodes are.
+    /// Reads servers' entries, only some of them if there are many. The answer may be outdated: it is
+    /// only used to find other nodes.
     fn find_servers(&self) -> impl Future<Output = Result<Vec<ServerInstance>, SourceError>>;
 
-    /// Reads all.
+    /// Reads the whole snapshot.
     fn read_all(&self) -> impl Future<Output = Result<Snapshot, SourceError>>;
 
     /// Reads the newest revision.
     fn newest_revision(&self) -> impl Future<Output = Result<Revision, SourceError>>;
 
-    /// Asks for what has changed since `after`, and waits up to `wait` for something.
+    /// Reads the changes since revision `after`, and waits up to `wait` until there are any.
     fn changes(
         &self,
         after: Revision,
@@ -61,21 +61,21 @@
     ) -> impl Future<Output = Result<Changes, SourceError>>;
 }
 
-/// Follows `source` and tells the node what changes, for ever.
+/// Follows `source` and applies its changes to the node. Never returns.
 pub async fn follow(node: Rc<Node>, source: impl Source) {
     let now = node.now();
     let follower = Follower::new(now, &mut node.state.borrow_mut().random);
     let mut follower = SourceFollower {
         follower,
         source,
-        found: Vec::new(),
+        found_servers: Vec::new(),
         following: Following::Starting,
-        is_lost: false,
+        is_source_lost: false,
         node,
     };
     loop {
         if let Err(error) = follower.step().await {
-            follower.note_error(&error);
+            follower.handle_error(&error);
         }
     }
 }
@@ -84,27 +84,29 @@
     node: Rc<Node>,
     source: S,
     follower: Follower,
-    /// Servers beside which there may be nodes, while this one has no snapshot.
-    found: Vec<ServerInstance>,
-    /// How the source was last followed.
+    /// Servers found at the source, beside which there may be nodes; used while this node has no
+    /// snapshot.
+    found_servers: Vec<ServerInstance>,
+    /// How the source was last followed, as logged.
     following: Following,
-    is_lost: bool,
+    /// Whether the last query to the source failed.
+    is_source_lost: bool,
 }
 
 impl<S: Source> SourceFollower<S> {
     async fn step(&mut self) -> Result<(), SourceError> {
         let (now, known) = (self.node.now(), self.known());
-        self.note_following(known);
+        self.log_following(known);
         let step = {
             let random = &mut self.node.state.borrow_mut().random;
             self.follower.step(now, known, random)
         };
         match step {
             Step::Wait(time) => sleep(time).await,
-            Step::AskNodes(limit) => self.ask_nodes(limit).await,
+            Step::AskNodes(limit) => self.query_nodes(limit).await,
             Step::FindNodes => self.find_nodes().await?,
             Step::ReadAll => self.read_all().await?,
-            Step::AskForNewest => self.ask_for_newest().await?,
+            Step::AskForNewest => self.check_newest().await?,
             Step::Watch => self.watch().await?,
         }
         Ok(())
@@ -114,13 +116,13 @@
         Known {
             revision: self.node.revision(),
             is_watcher: self.node.is_watcher(),
-            knows_nodes: !self.found.is_empty() || self.node.knows_watchers(),
+            knows_nodes: !self.found_servers.is_empty() || self.node.knows_watchers(),
             is_busy: self.node.is_busy(),
             view_age: self.node.view_age(),
         }
     }
 
-    fn note_following(&mut self, known: Known) {
+    fn log_following(&mut self, known: Known) {
         let following = self.follower.following(known);
         if following != self.following {
             let age_ms = known.view_age.map(|age| age.as_millis() as u64);
@@ -129,20 +131,20 @@
             self.following = following;
         }
         if following != Following::Starting {
-            self.found = Vec::new();
+            self.found_servers = Vec::new();
         }
     }
 
-    async fn ask_nodes(&mut self, limit: Duration) {
-        let asking = async {
+    async fn query_nodes(&mut self, limit: Duration) {
+        let querying = async {
             if self.node.has_snapshot() {
-                asking::ask_watchers(&self.node).await;
+                asking::query_watchers(&self.node).await;
             } else {
-                asking::ask_for_snapshot(&self.node, self.nodes_to_ask()).await;
+                asking::fetch_snapshot(&self.node, self.nodes_to_ask()).await;
             }
         };
-        // Whatever an answer has brought until then is kept.
-        let _ = timeout(limit, asking).await;
+        // Changes that were fetched before the timeout have already been applied.
+        let _ = timeout(limit, querying).await;
         let (now, known) = (self.node.now(), self.known());
         let random = &mut self.node.state.borrow_mut().random;
         self.follower.nodes_asked(now, known, random);
@@ -155,19 +157,19 @@
             address: settings.server_address,
         };
         let random = &mut self.node.state.borrow_mut().random;
-        nodes_to_ask(&self.found, own, random)
+        nodes_to_ask(&self.found_servers, own, random)
     }
 
     async fn find_nodes(&mut self) -> Result<(), SourceError> {
-        let found = self.source.find_servers().await?;
-        self.note_answer();
+        let found_servers = self.source.find_servers().await?;
+        self.log_source_regained();
         let now = self.node.now();
-        let is_chosen = watchers(&found).contains(&self.node.settings.server_address);
-        info!(self.node.log, "looked for other nodes"; "found" => found.len(),
+        let is_chosen = watchers(&found_servers).contains(&self.node.settings.server_address);
+        info!(self.node.log, "looked for other nodes"; "found" => found_servers.len(),
             "chosen_to_watch" => is_chosen);
-        self.found = found;
+        self.found_servers = found_servers;
         let random = &mut self.node.state.borrow_mut().random;
-        let are_any = !self.found.is_empty();
+        let are_any = !self.found_servers.is_empty();
         self.follower.nodes_found(now, are_any, is_chosen, random);
         Ok(())
     }
@@ -175,18 +177,19 @@
     async fn read_all(&mut self) -> Result<(), SourceError> {
         let asked = self.node.now();
         let snapshot = self.source.read_all().await?;
-        self.note_read(&snapshot);
+        self.log_read(&snapshot);
         let revision = snapshot.revision;
-        snapshots::replace(&self.node, "source", snapshot);
+        snapshots::replace_snapshot(&self.node, "source", snapshot);
         self.brought_up_to_date(revision, asked);
         if !self.node.is_watcher() {
-            asking::tell_watchers(&self.node);
+            asking::notify_watchers(&self.node);
         }
         Ok(())
     }
 
-    /// Logs what was read beside what is known: which of them is newer decides what is kept.
-    fn note_read(&self, read: &Snapshot) {
+    /// Logs the versions that were read together with those that this node has: the newer ones are
+    /// kept.
+    fn log_read(&self, read: &Snapshot) {
         let version = read.configuration.as_ref().map(|read| read.version);
         info!(self.node.log, "read all of the source"; "revision" => %read.revision,
             "version" => version, "servers" => read.servers.len(),
@@ -194,22 +197,22 @@
             "known_version" => self.node.configuration_version());
     }
 
-    /// Asks whether the source has anything newer than the snapshot.
-    async fn ask_for_newest(&mut self) -> Result<(), SourceError> {
+    /// Checks whether the source has a newer revision than this node's snapshot.
+    async fn check_newest(&mut self) -> Result<(), SourceError> {
         let asked = self.node.now();
         let newest = self.source.newest_revision().await?;
         if newest > self.node.revision() {
-            self.fall_behind("nobody told of the changes");
+            self.fall_behind("no node reported the changes");
         } else {
             self.brought_up_to_date(newest, asked);
         }
         Ok(())
     }
 
-    /// Takes in what the source told of changes after `after` when it was asked at `asked`, and
-    /// says whether that was anything. When its answer was given is not known: it may have waited,
-    /// here or on its way.
-    fn take_changes(
+    /// Applies the source's answer to a query for changes after `after`, sent at `asked`. Returns
+    /// whether it contained changes. The view is confirmed as of `asked`, because it is not known when
+    /// the source answered: the answer may have been delayed in the network or in this process.
+    fn apply_changes(
         &mut self,
         answer: Result<Changes, SourceError>,
         after: Revision,
@@ -223,53 +226,55 @@
             other => other?,
         };
         if answer.revision.era != after.era {
-            // Numbers were given out again: changes up to `after` in the new era are not among these.
+            // In a new era the source assigns revision numbers again: the answer does not contain the
+            // new era's changes up to the number of `after`.
             self.fall_behind("source came back from an older copy");
             return Ok(false);
         }
         let has_changes = answer.told > 0;
         if !has_changes && answer.revision > self.node.revision() {
-            // Every change is told: some were left out.
+            // The source reports every change, so some are missing from this answer.
             self.fall_behind("source named a revision without the changes that led to it");
             return Ok(false);
         }
-        snapshots::apply(&self.node, answer.revision, answer.changes);
+        snapshots::apply_changes(&self.node, answer.revision, answer.changes);
         self.brought_up_to_date(answer.revision, asked);
         Ok(has_changes)
     }
 
-    /// The source has something newer and does not tell the changes that led to it.
+    /// Handles that the source has a newer revision but did not report the changes up to it.
     fn fall_behind(&mut self, why: &str) {
         let (now, known) = (self.node.now(), self.known());
         info!(self.node.log, "fell behind the source"; "why" => why, "revision" => %known.revision);
-        self.note_answer();
+        self.log_source_regained();
         let random = &mut self.node.state.borrow_mut().random;
         self.follower.fell_behind(now, known, random);
     }
 
-    /// At `at`, `revision` was the source's newest, and the node has it.
+    /// Handles that the node has `revision`, which was the source's newest at `at`.
     fn brought_up_to_date(&mut self, revision: Revision, at: Timestamp) {
         self.confirm(revision, at);
-        self.note_answer();
+        self.log_source_regained();
         let random = &mut self.node.state.borrow_mut().random;
         self.follower.brought_up_to_date(random);
     }
 
-    /// At `at`, `revision` was the source's newest.
+    /// Confirms the node's view as of `at`, when `revision` was the source's newest, if the node has
+    /// that revision.
     fn confirm(&self, revision: Revision, at: Timestamp) {
         if revision == self.node.revision() {
             self.node.confirm_view(at);
         }
     }
 
-    fn note_answer(&mut self) {
-        if std::mem::take(&mut self.is_lost) {
+    fn log_source_regained(&mut self) {
+        if std::mem::take(&mut self.is_source_lost) {
             info!(self.node.log, "source regained"; "revision" => %self.node.revision());
         }
     }
 
-    fn note_error(&mut self, error: &SourceError) {
-        if !std::mem::replace(&mut self.is_lost, true) {
+    fn handle_error(&mut self, error: &SourceError) {
+        if !std::mem::replace(&mut self.is_source_lost, true) {
             warn!(self.node.log, "source lost"; "error" => %error, "revision" => %self.node.revision());
         }
         let now = self.node.now();
--- a/crates/proxy/src/source/watching.rs
+++ b/crates/proxy/src/source/watching.rs
@@ -1,4 +1,4 @@
-//! The watch of one of the few nodes that watch the source for all.
+//! Watches the source for changes, on the few nodes that do so for all nodes.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -12,52 +12,54 @@
 
 use super::{Changes, Source, SourceError, SourceFollower};
 
-/// How long a watch waits at least and at most, milliseconds. Every node draws its
-/// own time, so that after a silence of the source some node soon hears of changes.
-const WATCH_WAIT: std::ops::Range<u64> = 5_000..12_000;
-/// How long a watch waits after the source was lost, until it has answered again.
-const TRIAL_WAIT: Duration = Duration::from_millis(200);
-/// A watch that has not told of a change for this long is lost.
-const WATCH_DELAY: Duration = Duration::from_millis(200);
-/// Changes that come in quick succession are taken in together.
-const GATHER: Duration = Duration::from_millis(250);
-/// The longest time between looks at how fresh the view is.
-const FRESHNESS_POLL: Duration = Duration::from_millis(250);
+/// Range from which the wait time of each watch is drawn, in milliseconds. The times differ between
+/// nodes, so that some node soon receives changes after the source was silent.
+const WATCH_WAIT_MS: std::ops::Range<u64> = 5_000..12_000;
+/// Wait time of a watch after the source was lost and until it has answered again.
+const RETRY_WATCH_WAIT: Duration = Duration::from_millis(200);
+/// How long a watch may take to report a change that the source already has; after that it counts
+/// as lost.
+const WATCH_GRACE: Duration = Duration::from_millis(200);
+/// Pause after a change before the next watch, so that changes in quick succession are applied
+/// together.
+const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(250);
+/// The longest pause between two checks of the view's age.
+const VIEW_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl<S: Source> SourceFollower<S> {
-    /// Watches for changes after the snapshot, and checks the view meanwhile if no other
-    /// node confirms it.
+    /// Watches for changes after this node's revision. Meanwhile checks with the source that the
+    /// revision is still the newest, unless another node confirms that.
     pub(super) async fn watch(&mut self) -> Result<(), SourceError> {
         let after = self.node.revision();
         let wait = self.watch_wait();
         let asked = self.node.now();
-        let Some(answer) = self.watch_answer(after, wait).await? else {
-            self.fall_behind("a watch did not tell of changes");
+        let Some(answer) = self.await_watch_answer(after, wait).await? else {
+            self.fall_behind("a watch did not report the changes");
             return Ok(());
         };
-        if !self.take_changes(answer, after, asked)? {
+        if !self.apply_changes(answer, after, asked)? {
             return Ok(());
         }
         if !self.node.is_watcher() {
-            // This node watched because it knew of nobody, and those that are to don't know yet.
-            asking::tell_watchers(&self.node);
+            // This node watched because it knew no other node; the nodes that are to watch may not have
+            // these changes yet.
+            asking::notify_watchers(&self.node);
         }
-        sleep(GATHER).await;
+        sleep(CHANGE_BATCH_DELAY).await;
         Ok(())
     }
 
     fn watch_wait(&self) -> Duration {
-        if self.is_lost {
-            return TRIAL_WAIT;
+        if self.is_source_lost {
+            return RETRY_WATCH_WAIT;
         }
         let random = &mut self.node.state.borrow_mut().random;
-        Duration::from_millis(random.random_range(WATCH_WAIT))
+        Duration::from_millis(random.random_range(WATCH_WAIT_MS))
     }
 
-    /// Waits for the answer of a watch, and makes sure meanwhile that it is not
-    /// waited for in vain: the source may have fallen silent, or forgotten the watch. None if it
-    /// has something newer and the watch doesn't tell.
-    async fn watch_answer(
+    /// Waits for the answer of a watch, and meanwhile checks that the source still answers and has not
+    /// lost the watch. Returns none if the source has a newer revision that the watch does not report.
+    async fn await_watch_answer(
         &self,
         after: Revision,
         wait: Duration,
@@ -67,13 +69,13 @@
             tokio::select! {
                 biased;
                 answer = watching.as_mut() => return Ok(Some(answer)),
-                () = self.check_due() => {}
+                () = self.wait_until_check_due() => {}
             }
-            if asking::ask_another_watcher(&self.node).await {
+            if asking::query_another_watcher(&self.node).await {
                 continue;
             }
             if !self.is_newest(after).await? {
-                return Ok(timeout(WATCH_DELAY, watching.as_mut()).await.ok());
+                return Ok(timeout(WATCH_GRACE, watching.as_mut()).await.ok());
             }
         }
     }
@@ -86,19 +88,19 @@
         Ok(newest <= revision)
     }
 
-    /// Waits until the view is so old that it must be checked, or this node no longer
-    /// is one of those that watch.
-    async fn check_due(&self) {
-        let drawn = self.node.state.borrow_mut().random.random();
+    /// Waits until the view is so old that it must be checked, or this node is no longer one of those
+    /// that watch the source.
+    async fn wait_until_check_due(&self) {
+        let random_share = self.node.state.borrow_mut().random.random();
         while self.node.is_watcher() {
             let role = self.known().role();
-            let limit = view_freshness::age_limit(role, drawn);
+            let limit = view_freshness::age_limit(role, random_share);
             let age = self.node.view_age().unwrap_or(Duration::MAX);
             let left = limit.saturating_sub(age);
             if left.is_zero() {
                 return;
             }
-            sleep(left.min(FRESHNESS_POLL)).await;
+            sleep(left.min(VIEW_CHECK_INTERVAL)).await;
         }
     }
 }
