--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,23 +1,23 @@
-//! The traffic process of a mesh: takes requests from callers beside it, sends
-//! them to the nodes beside servers, and hands requests to the server beside it.
+//! The proxy process of a service mesh: takes requests from local callers, sends them to the nodes
+//! beside servers, and forwards requests of other nodes to the server beside it.
 //!
-//! Everything runs on one thread, because the machines have one core: a request
-//! passes without waking another thread. Decisions come from
-//! [`lifthollow_coordination::mesh`]; this crate carries them out.
+//! Everything runs on one thread, because the machines have one core: no other thread has to be woken
+//! for a request. Decisions are made in [`lifthollow_coordination::mesh`]; this crate carries them
+//! out.
 //!
 //! - [`outbound`]: requests of local callers, to any service;
 //! - [`inbound`]: attempts of other nodes, for the server beside this node;
 //! - [`node`]: the state that both share;
-//! - [`probe`]: whether a server that fell silent can be trusted again;
-//! - [`source`]: what is asked of the source of configuration and servers;
-//! - [`snapshots`]: what comes from outside, and from other nodes in its place;
-//! - [`suspects`]: requests that crash servers, and what nodes tell each other of them;
-//! - [`tenants`]: whose a request is, and whether its tenant may send one more;
-//! - [`http`]: bodies and what HTTP says of connections; [`network`]: connections;
+//! - [`probe`]: probes of servers that fell silent, until they answer again;
+//! - [`source`]: queries to the source of configuration and servers;
+//! - [`snapshots`]: changes of configuration and servers, from the source or from other nodes;
+//! - [`suspects`]: requests that may crash servers, and the exchange of reports about them;
+//! - [`tenants`]: the tenant of a request, and whether its rate limit admits the request;
+//! - [`http`]: HTTP bodies, headers and connections; [`network`]: byte streams;
 //! - [`process`]: listeners, signals, start and stop.
 //!
-//! What callers and servers call their headers is told by [`WireNames`], so that
-//! a platform is met by an adapter without decisions of its own.
+//! [`WireNames`] holds the names of the headers used with callers and servers, so that an adapter for
+//! a platform makes no decisions of its own.
 
 pub mod http;
 pub mod inbound;
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -6,14 +6,14 @@
     Opts, Registry, TextEncoder,
 };
 
-/// Upper bounds of the buckets of durations, seconds.
+/// Upper bounds of the buckets of duration histograms, in seconds.
 const DURATION_BUCKETS: [f64; 12] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0,
 ];
 /// All metrics of a process.
 pub struct Metrics {
     registry: Registry,
-    /// Requests of local callers, by what the caller was told.
+    /// Requests of local callers, by the outcome that the caller was answered with.
     pub requests: IntCounterVec,
     /// Time from a request's arrival to its answer.
     pub request_duration: Histogram,
@@ -23,45 +23,46 @@
     pub server_duration: Histogram,
     /// Requests that reached the server beside this node.
     pub server_requests: IntCounter,
-    /// What the server beside this node says of itself.
+    /// What the server beside this node reports about itself in its answers.
     pub server_notice: ServerNoticeMetrics,
     /// Attempts that were repeats.
     pub repeats: IntCounter,
     /// Crashes of the server beside this node.
     pub server_crashes: IntCounter,
-    /// Contents of requests that may crash servers: suspected, proven.
+    /// Number of request contents that are suspected or proven to crash servers.
     pub suspects: IntGaugeVec,
-    /// Tenants: with requests lately, at their limit, lent by this node.
+    /// Number of tenants that recently sent requests through this node, that are at their rate limit
+    /// here, and whose tokens this node lends.
     pub tenants: IntGaugeVec,
     /// Version of the configuration in force.
     pub configuration_version: IntGauge,
-    /// Era of the snapshot's revision.
+    /// Era of the revision of this node's snapshot.
     pub snapshot_era: IntGauge,
-    /// Number of the snapshot's revision in its era.
+    /// Number of the snapshot's revision within its era.
     pub snapshot_revision: IntGauge,
     /// Changes of the snapshot, by where they came from.
     pub changes: IntCounterVec,
     /// Calls to the source, by what they are for.
     pub source_calls: IntCounterVec,
-    /// Load at the server beside this node: running, waiting, limit.
+    /// Requests running at and waiting for the server beside this node, and its concurrency limit.
     pub load: IntGaugeVec,
-    /// Connections opened, to the server and to nodes.
+    /// Number of connections opened, to the server beside this node and to other nodes.
     pub connections: IntGaugeVec,
-    /// Log lines left out to bound their number.
+    /// Log lines left out by the rate limit of the log.
     pub log_lines_left_out: IntCounter,
 }
 
-/// What the server beside a node says of itself in its answers.
+/// Metrics of what the server beside this node reports about itself in its answers.
 pub struct ServerNoticeMetrics {
-    /// Requests a second that it takes; [`NO_LIMIT`] if it names none.
+    /// Rate limit that the server names, in requests a second; [`NO_LIMIT`] if it names none.
     pub limit: Gauge,
-    /// Since when it has named a limit, Unix seconds; 0 if it names none.
+    /// Since when the server has named a rate limit, in Unix seconds; 0 if it names none.
     pub limited_since: Gauge,
-    /// Whether it leaves.
+    /// Whether the server is leaving: 1 if so, else 0.
     pub is_leaving: IntGauge,
 }
 
-/// The limit of a server that names none.
+/// Value of the limit gauge for a server that names no limit.
 pub const NO_LIMIT: f64 = -1.0;
 
 impl ServerNoticeMetrics {
@@ -79,7 +80,7 @@
         )?;
         let is_leaving = IntGauge::new(
             "lifthollow_server_leaving",
-            "Whether the server says in its answers that it leaves.",
+            "Whether the server says in its answers that it is leaving.",
         )?;
         registry.register(Box::new(is_leaving.clone()))?;
         Ok(ServerNoticeMetrics {
@@ -91,14 +92,14 @@
 }
 
 impl Metrics {
-    /// Metrics that are all zero.
+    /// Creates and registers all metrics, at their initial values.
     pub fn new() -> Result<Self> {
         let registry = Registry::new();
         let metrics = Metrics {
             requests: counters(
                 &registry,
                 "lifthollow_requests_total",
-                "Requests of local callers, by what the caller was told.",
+                "Requests of local callers, by the outcome that the caller was answered with.",
                 "outcome",
             )?,
             request_duration: histogram(
@@ -134,7 +135,7 @@
             )?,
             snapshot_era: IntGauge::new(
                 "lifthollow_snapshot_era",
-                "How often the source has come back from an older copy, as of the snapshot.",
+                "Era of the snapshot: how often the source has been restored from an older copy.",
             )?,
             snapshot_revision: IntGauge::new(
                 "lifthollow_snapshot_revision",
@@ -155,13 +156,13 @@
             load: gauges(
                 &registry,
                 "lifthollow_load",
-                "Load at the server beside this node.",
+                "Requests running at and waiting for the server beside this node, and its concurrency limit.",
                 "what",
             )?,
             suspects: gauges(
                 &registry,
                 "lifthollow_suspects",
-                "Contents of requests that may crash servers, by what is known.",
+                "Contents of requests that may crash servers, suspected or proven.",
                 "standing",
             )?,
             tenants: gauges(
@@ -173,12 +174,12 @@
             connections: gauges(
                 &registry,
                 "lifthollow_connections_opened",
-                "Connections opened.",
+                "Connections opened, to the server beside this node and to other nodes.",
                 "to",
             )?,
             log_lines_left_out: IntCounter::new(
                 "lifthollow_log_lines_left_out_total",
-                "Log lines left out to bound their number.",
+                "Log lines left out by the rate limit of the log.",
             )?,
             registry,
         };
@@ -203,7 +204,7 @@
         Ok(metrics)
     }
 
-    /// All figures as Prometheus text.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn text(&self) -> Result<Vec<u8>> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
--- a/crates/proxy/src/network.rs
+++ b/crates/proxy/src/network.rs
@@ -1,7 +1,7 @@
-//! Where connections come from and go to: the system's sockets, or a simulation.
+//! Opens and accepts connections: through the system's sockets, or in a simulation.
 //!
-//! The deterministic simulation runs the same process over connections in memory
-//! and on a virtual clock, so nothing else in this crate opens a socket.
+//! The deterministic simulation runs the same process on in-memory connections and a virtual clock,
+//! so only this module opens sockets.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -12,41 +12,41 @@
 
 use crate::http::socket;
 
-/// A connection as the process sees it.
+/// A bidirectional byte stream: a socket of the system or a connection of a simulation.
 pub trait Connection: AsyncRead + AsyncWrite + Unpin {}
 
 impl<C: AsyncRead + AsyncWrite + Unpin> Connection for C {}
 
-/// A connection of either kind.
+/// A boxed connection.
 pub type Stream = Box<dyn Connection>;
 
-/// A connection that is being opened or waited for.
+/// Resolves to a connection that is being opened or accepted.
 pub type Opening<'a> = Pin<Box<dyn Future<Output = io::Result<Stream>> + 'a>>;
 
-/// Takes new connections.
+/// Accepts connections at one address.
 pub trait Listener {
-    /// The next connection.
+    /// Waits for the next connection.
     ///
     /// # Errors
     ///
-    /// The system refuses it, as when there are no descriptors left.
+    /// The system can't accept a connection, for example because no file descriptors are left.
     fn accept(&self) -> Opening<'_>;
 }
 
-/// Opens and takes connections.
+/// Opens connections and listens for them.
 pub trait Network {
     /// Listens at `address`.
     ///
     /// # Errors
     ///
-    /// The address is not this machine's, or is in use.
+    /// The address does not belong to this machine, or is in use.
     fn listen(&self, address: SocketAddrV4) -> io::Result<Box<dyn Listener>>;
 
-    /// Opens a connection to `address`. It may take for ever.
+    /// Opens a connection to `address`. There is no timeout: the future may never resolve.
     fn connect(&self, address: SocketAddrV4) -> Opening<'static>;
 }
 
-/// The system's TCP.
+/// The network of the operating system, with TCP connections.
 pub struct SystemNetwork;
 
 impl Network for SystemNetwork {
--- a/crates/proxy/src/node/mod.rs
+++ b/crates/proxy/src/node/mod.rs
@@ -36,7 +36,7 @@
 use crate::inbound::crash_detector::CrashDetector;
 use crate::inbound::in_progress::AttemptsInProgress;
 use crate::inbound::server_notice::NoticeLog;
-use crate::logging::LineLimit;
+use crate::logging::LogRateLimit;
 use crate::metrics::Metrics;
 use crate::network::{Network, SystemNetwork};
 use crate::settings::ProxySettings;
@@ -158,7 +158,7 @@
     /// The logger of the process.
     pub log: Logger,
     /// Rate limit of log lines about requests.
-    pub line_limit: LineLimit,
+    pub log_rate_limit: LogRateLimit,
     /// The progress of a planned stop.
     pub phase: Cell<Phase>,
     /// Whether the server beside this node was last found to fail its requests.
@@ -222,7 +222,7 @@
             report_exchange: ReportExchange::default(),
             metrics,
             log,
-            line_limit: LineLimit::default(),
+            log_rate_limit: LogRateLimit::default(),
             phase: Cell::new(Phase::Serving),
             encoded_snapshot: RefCell::default(),
             is_start_scheduled: Cell::new(false),
@@ -326,7 +326,7 @@
 
     /// Whether a log line about a request may be written now.
     pub fn may_log(&self) -> bool {
-        self.line_limit.allows(self.now())
+        self.log_rate_limit.allows(self.now())
     }
 
     /// The limits of a connection: the size of a request head and the idle time.
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -1,4 +1,4 @@
-//! Start, listeners, signals and stop of a process.
+//! Starts and stops a process: its listeners, signal handlers and periodic tasks.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -23,35 +23,41 @@
 use crate::suspects;
 use crate::tenants;
 
-/// Time between housekeeping.
-const HOUSEKEEPING: Duration = Duration::from_millis(500);
-/// Time between looks at how late this thread is woken, while requests come: each costs some
-/// microseconds, and levels are revised every 100 ms.
-const PROCESSOR_LOOK: Duration = Duration::from_millis(25);
-/// After a planned stop began, callers are still served this long: until then
-/// the platform has noticed that the node isn't ready.
-const STILL_SERVING: Duration = Duration::from_millis(2600);
-/// After a planned stop began, attempts for the server are still taken this long.
-const STILL_TAKING_ATTEMPTS: Duration = Duration::from_millis(1800);
-/// Kept back of the time that a planned stop may take.
+/// Pause between two runs of the housekeeping task.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
+/// Pause between two measurements of how late this thread is woken, while the node is busy. Each
+/// measurement costs some microseconds, and admission levels are revised every 100 ms.
+const CPU_DELAY_CHECK_INTERVAL: Duration = Duration::from_millis(25);
+/// How long callers are still served after a planned stop began: by then the platform has noticed
+/// that the node is not ready.
+const CALLERS_SERVED_AFTER_STOP: Duration = Duration::from_millis(2600);
+/// How long attempts for the server beside this node are still accepted after a planned stop began.
+const ATTEMPTS_ACCEPTED_AFTER_STOP: Duration = Duration::from_millis(1800);
+/// Part of the time allowed for a planned stop that is kept in reserve.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
-/// Time between looks at what is still in progress while stopping.
-const STOP_POLL: Duration = Duration::from_millis(20);
-/// Bounds of a connection that asks for readiness or metrics.
-const OPERATORS_LIMITS: ConnectionLimits = ConnectionLimits {
+/// Pause between two checks of what is still in progress during a stop.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Limits of connections to the readiness and metrics ports.
+const ADMIN_CONNECTION_LIMITS: ConnectionLimits = ConnectionLimits {
     max_header_bytes: 8192,
     idle_timeout: Duration::from_secs(10),
 };
 
-/// Runs `node` until it is told to stop. `source` is run beside it and tells it
-/// what comes from outside; `reload` is called when settings may have changed.
+/// Runs `node` until the process receives SIGTERM. `source` runs as a task that keeps the snapshot up
+/// to date; `reload` is called on SIGHUP, when settings may have changed.
+///
+/// # Errors
+///
+/// A signal handler can't be installed, or one of the addresses can't be listened on.
 pub async fn run(
     node: Rc<Node>,
     source: impl Future<Output = ()> + 'static,
     reload: impl Fn(&Rc<Node>) + 'static,
 ) -> Result<()> {
-    let mut terminate = signal(SignalKind::terminate()).context("signal TERM")?;
-    let mut hangup = signal(SignalKind::hangup()).context("signal HUP")?;
+    let mut terminate =
+        signal(SignalKind::terminate()).context("could not install the handler of SIGTERM")?;
+    let mut hangup =
+        signal(SignalKind::hangup()).context("could not install the handler of SIGHUP")?;
     let running = start(&node, source)?;
     loop {
         tokio::select! {
@@ -63,7 +69,7 @@
     Ok(())
 }
 
-/// A process that serves.
+/// A running process.
 pub struct Running {
     node: Rc<Node>,
     callers: InProgress,
@@ -71,16 +77,17 @@
     close: watch::Sender<bool>,
 }
 
-/// Starts to serve. `source` is run beside it and tells it what comes from outside.
+/// Starts to serve callers and other nodes. `source` runs as a task that keeps the snapshot up to
+/// date.
 ///
 /// # Errors
 ///
-/// One of the addresses in the settings can't be listened at.
+/// One of the addresses in the settings can't be listened on.
 pub fn start(node: &Rc<Node>, source: impl Future<Output = ()> + 'static) -> Result<Running> {
     let settings = &node.settings;
     let listen = |what: &str, address: SocketAddrV4| {
         let listener = node.network.listen(address);
-        listener.with_context(|| format!("listening at {address} for {what}"))
+        listener.with_context(|| format!("could not listen at {address} for {what}"))
     };
     let outbound = listen("outbound", settings.outbound)?;
     let inbound = listen("inbound", settings.inbound)?;
@@ -88,7 +95,7 @@
     let (close, closing) = watch::channel(false);
     let callers = InProgress::default();
     let peers = InProgress::default();
-    let others = InProgress::default();
+    let admin = InProgress::default();
     spawn_local(server::run(
         outbound,
         Rc::new(Outbound(node.clone())),
@@ -103,8 +110,8 @@
     ));
     spawn_local(server::run(
         readiness,
-        Rc::new(Readiness(node.clone())),
-        others.clone(),
+        Rc::new(ReadinessPort(node.clone())),
+        admin.clone(),
         closing.clone(),
     ));
     if let Some(address) = settings.metrics {
@@ -112,13 +119,13 @@
         spawn_local(server::run(
             listener,
             Rc::new(MetricsPort(node.clone())),
-            others,
+            admin,
             closing.clone(),
         ));
     }
     spawn_local(source);
-    spawn_local(housekeeping(node.clone()));
-    spawn_local(watch_processor(node.clone()));
+    spawn_local(run_housekeeping(node.clone()));
+    spawn_local(measure_cpu_delay(node.clone()));
     info!(node.log, "started"; "node" => &settings.node_name, "service" => &settings.service,
         "zone" => &settings.zone, "outbound" => %settings.outbound, "inbound" => %settings.inbound,
         "version" => env!("CARGO_PKG_VERSION"));
@@ -131,9 +138,9 @@
 }
 
 impl Running {
-    /// Stops as planned. Until the platform has noticed, everything is served as
-    /// before, so that the server beside this node isn't idle; then attempts for
-    /// it are refused, and what is in progress is finished.
+    /// Stops the process as planned. Until the platform has noticed that the node is not ready,
+    /// everything is served as before, so that the server beside this node is not idle. After that,
+    /// attempts for the server are refused, and requests in progress are finished.
     pub async fn stop(self) {
         let Running {
             node,
@@ -141,53 +148,53 @@
             peers,
             close,
         } = self;
-        let begun = Instant::now();
+        let stop_began = Instant::now();
         node.phase.set(Phase::Announced);
         info!(node.log, "stopping"; "requests" => callers.requests(), "attempts" => peers.requests());
-        sleep_until(begun + STILL_TAKING_ATTEMPTS).await;
+        sleep_until(stop_began + ATTEMPTS_ACCEPTED_AFTER_STOP).await;
         node.phase.set(Phase::Draining);
-        sleep_until(begun + STILL_SERVING).await;
+        sleep_until(stop_began + CALLERS_SERVED_AFTER_STOP).await;
         let _ = close.send(true);
-        let last = begun + node.settings.stop_grace.saturating_sub(STOP_MARGIN);
+        let stop_deadline = stop_began + node.settings.stop_grace.saturating_sub(STOP_MARGIN);
         let nothing_left = async {
             while callers.connections() + peers.requests() > 0 {
-                sleep(STOP_POLL).await;
+                sleep(STOP_POLL_INTERVAL).await;
             }
         };
-        let left = last.saturating_duration_since(Instant::now());
+        let left = stop_deadline.saturating_duration_since(Instant::now());
         let is_complete = timeout(left, nothing_left).await.is_ok();
         info!(node.log, "stopped"; "complete" => is_complete, "requests" => callers.requests(),
-            "attempts" => peers.requests(), "after_ms" => begun.elapsed().as_millis() as u64);
+            "attempts" => peers.requests(), "after_ms" => stop_began.elapsed().as_millis() as u64);
     }
 }
 
-/// Looks how late this thread is woken, often while there is something to do.
-async fn watch_processor(node: Rc<Node>) {
+/// Measures periodically how late this thread is woken, more often while the node is busy.
+async fn measure_cpu_delay(node: Rc<Node>) {
     loop {
         let pause = match node.is_busy() {
-            true => PROCESSOR_LOOK,
-            false => HOUSEKEEPING,
+            true => CPU_DELAY_CHECK_INTERVAL,
+            false => HOUSEKEEPING_INTERVAL,
         };
-        let asked = node.now();
+        let slept_at = node.now();
         sleep(pause).await;
         let now = node.now();
-        let lateness = now.saturating_since(asked).saturating_sub(pause);
+        let lateness = now.saturating_since(slept_at).saturating_sub(pause);
         node.state.borrow_mut().admission.woken_late(now, lateness);
     }
 }
 
-async fn housekeeping(node: Rc<Node>) {
+async fn run_housekeeping(node: Rc<Node>) {
     loop {
-        sleep(HOUSEKEEPING).await;
+        sleep(HOUSEKEEPING_INTERVAL).await;
         node.server_connections.close_expired();
         node.peer_connections.close_expired();
-        let left_out = node.line_limit.take_left_out();
+        let left_out = node.log_rate_limit.take_left_out();
         if left_out > 0 {
             node.metrics.log_lines_left_out.inc_by(left_out);
             info!(node.log, "log lines left out"; "count" => left_out);
         }
-        note_gauges(&node);
-        note_server_health(&node);
+        update_gauges(&node);
+        log_server_health(&node);
         suspects::expire_and_update_gauges(&node);
         tenants::expire_and_update_gauges(&node);
         let mut state = node.state.borrow_mut();
@@ -200,9 +207,8 @@
     }
 }
 
-/// Logs when the server beside this node begins to fail its requests, and when it
-/// no longer does.
-fn note_server_health(node: &Rc<Node>) {
+/// Logs when the server beside this node begins to fail its requests, and when it serves them again.
+fn log_server_health(node: &Rc<Node>) {
     let state = node.state.borrow();
     let failing = state.admission.failing_zone(node.now());
     if node.is_server_failing.replace(failing.is_some()) == failing.is_some() {
@@ -216,7 +222,7 @@
     }
 }
 
-fn note_gauges(node: &Rc<Node>) {
+fn update_gauges(node: &Rc<Node>) {
     let load = node.state.borrow().admission.occupancy();
     let gauge = |what: &str, value: u32| {
         node.metrics
@@ -234,10 +240,10 @@
     connections.with_label_values(&["nodes"]).set(to_nodes);
 }
 
-/// The port at which the platform asks whether the node is ready.
-struct Readiness(Rc<Node>);
+/// Handler of the port at which the platform checks whether the node is ready.
+struct ReadinessPort(Rc<Node>);
 
-impl Handler for Readiness {
+impl Handler for ReadinessPort {
     async fn handle(self: Rc<Self>, request: Request<Option<Incoming>>) -> Response<ProxyBody> {
         let is_known = request.uri().path() == self.0.names.readiness_path;
         let status = match (is_known, self.0.is_ready()) {
@@ -251,7 +257,7 @@
     }
 
     fn connection_limits(&self) -> ConnectionLimits {
-        OPERATORS_LIMITS
+        ADMIN_CONNECTION_LIMITS
     }
 
     fn accept_refused(&self, error: &io::Error) {
@@ -263,7 +269,7 @@
     }
 }
 
-/// The port at which the process tells its own figures.
+/// Handler of the port at which the process serves its metrics.
 struct MetricsPort(Rc<Node>);
 
 impl Handler for MetricsPort {
@@ -271,7 +277,7 @@
         let text = match self.0.metrics.text() {
             Ok(text) => text,
             Err(error) => {
-                warn!(self.0.log, "metrics not told"; "error" => format!("{error:#}"));
+                warn!(self.0.log, "could not encode the metrics"; "error" => format!("{error:#}"));
                 let mut response = Response::new(ProxyBody::empty());
                 *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
                 return response;
@@ -284,7 +290,7 @@
     }
 
     fn connection_limits(&self) -> ConnectionLimits {
-        OPERATORS_LIMITS
+        ADMIN_CONNECTION_LIMITS
     }
 
     fn accept_refused(&self, error: &io::Error) {
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a traffic process is told at its start.
+//! Settings of a traffic process, read at its start.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -10,29 +10,29 @@
 /// Settings of one process.
 #[derive(Clone, Debug)]
 pub struct ProxySettings {
-    /// Name of the node, for logs.
+    /// Name of the node, used in its logs.
     pub node_name: String,
-    /// The zone it stands in.
+    /// Zone that the node belongs to.
     pub zone: String,
-    /// The service of the server beside it.
+    /// Service of the server beside the node.
     pub service: String,
-    /// Address of the server beside it.
+    /// Address of the server beside the node.
     pub server_address: SocketAddrV4,
-    /// Where local callers send their requests.
+    /// Address at which local callers send their requests.
     pub outbound: SocketAddrV4,
-    /// Where other nodes send attempts. Its port is the same at all nodes.
+    /// Address at which other nodes send attempts. The port is the same on all nodes.
     pub inbound: SocketAddrV4,
-    /// Where the platform asks whether the node is ready.
+    /// Address at which the platform checks whether the node is ready.
     pub readiness: SocketAddrV4,
-    /// Where metrics are served; nowhere if not given.
+    /// Address at which metrics are served; if none, they are not served.
     pub metrics: Option<SocketAddrV4>,
-    /// How long a server's entry at the source lasts that the server does not renew.
+    /// How long a server's entry at the source lasts if the server does not renew it.
     pub entry_lifetime: Duration,
-    /// Repeats that all nodes together may send.
+    /// Bound on the repeated attempts of all nodes together.
     pub retry_bound: FleetRetryBound,
-    /// How old the view may be by which keys are taken; none if any will do.
+    /// How old the view may be for tenants' keys to be accepted; if none, at any age.
     pub oldest_view_for_keys: Option<OldestView>,
-    /// How exactly tenants' limits are to be kept.
+    /// How far all nodes together may exceed a tenant's rate limit.
     pub quota_tolerance: QuotaTolerance,
     /// How long a planned stop may take.
     pub stop_grace: Duration,
--- a/crates/proxy/src/wire_names.rs
+++ b/crates/proxy/src/wire_names.rs
@@ -1,44 +1,46 @@
-//! What callers, servers and the platform call what is spoken with them.
+//! Names of the headers and paths that are exchanged with callers, servers and the platform.
 
 use hyper::HeaderMap;
 use hyper::header::HeaderName;
 
-/// Names of headers and paths. Values have the same form everywhere: times are
-/// whole milliseconds.
+/// Names of headers and paths, which depend on the platform. The values have the same format
+/// everywhere: times are in whole milliseconds unless stated otherwise.
 #[derive(Clone, Debug)]
 pub struct WireNames {
-    /// Names one attempt of a caller; servers repeat it in their answers.
+    /// Header that identifies one attempt of a caller; servers repeat it in their answers.
     pub request_id: HeaderName,
-    /// How long the caller waits, milliseconds.
+    /// Header that says how long the caller waits, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// A server's proof that an answer is its own.
+    /// Header with a server's signature, which proves that an answer is its own.
     pub signature: HeaderName,
-    /// The only server instance that may run the request.
+    /// Header that names the only server instance that may run the request.
     pub expected_instance: HeaderName,
-    /// Says in a server's answer that it has not run the request.
+    /// Header of a server's answer that says that the server has not run the request.
     pub not_run: HeaderName,
-    /// In a server's answers: the requests a second that it takes from all nodes together.
+    /// Header of a server's answers with the rate limit that the server names: requests a second from
+    /// all nodes together.
     pub server_limit: HeaderName,
-    /// In a server's answers: [`WireNames::leaving_word`] if it leaves.
+    /// Header of a server's answers that has the value [`WireNames::leaving_word`] if the server is
+    /// leaving.
     pub server_leaving: HeaderName,
-    /// What a server says there if it leaves.
+    /// Value of [`WireNames::server_leaving`] if the server is leaving.
     pub leaving_word: &'static str,
-    /// The service of the machine that the request started on.
+    /// Header that names the service of the calling machine.
     pub caller_service: HeaderName,
-    /// Tells a server whose request it is.
+    /// Header that tells a server the tenant of the request.
     pub tenant: HeaderName,
-    /// Where a caller shows its tenant's key, after [`WireNames::key_scheme`] and a blank.
+    /// Header with a caller's tenant key, preceded by [`WireNames::key_scheme`] and a space.
     pub authorization: HeaderName,
-    /// What stands before a key, in any case.
+    /// Authorization scheme that precedes a key, compared without regard to case.
     pub key_scheme: &'static str,
-    /// When the caller may come back, seconds.
+    /// Header that says after how many seconds the caller may retry.
     pub retry_after: HeaderName,
-    /// Where the platform asks whether the node is ready.
+    /// Path at which the platform checks whether the node is ready.
     pub readiness_path: String,
 }
 
 impl WireNames {
-    /// The identity that a request names; empty if it names none.
+    /// Returns the request identifier in `headers`; empty if there is none.
     pub fn request_id_of<'h>(&self, headers: &'h HeaderMap) -> &'h str {
         let id = headers.get(&self.request_id);
         id.and_then(|id| id.to_str().ok()).unwrap_or_default()
