--- a/crates/coordination/src/mesh/snapshot_store/change_log.rs
+++ b/crates/coordination/src/mesh/snapshot_store/change_log.rs
@@ -1,28 +1,28 @@
-//! The last changes of the source, kept for nodes that are behind.
+//! Log of the most recent changes of the source, used to bring nodes that are behind up to date.
 
 use std::collections::VecDeque;
 
 use lifthollow_state::mesh::{Change, Gap, RevisedChange, Revision, Snapshot, Update};
 
-/// Changes that are kept for nodes that are behind. One that is further behind is
-/// sent the whole snapshot.
+/// Maximum number of changes in the log. A node that is further behind is sent the whole
+/// snapshot.
 const KEPT_CHANGES: usize = 1024;
-/// Gaps between kept changes. With more, the changes before are forgotten.
+/// Maximum number of gaps in the log. When a further one would be added, the log is cleared.
 const KEPT_GAPS: usize = 32;
 
-/// The last changes.
+/// The most recent changes of the source, in the order of their revisions.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ChangeLog {
-    /// In the order of their revisions.
+    /// The logged changes, in the order of their revisions.
     recent: VecDeque<RevisedChange>,
-    /// All changes after this revision are among them.
+    /// The log covers all revisions after this one, except for what `gaps` hides.
     since: Revision,
-    /// Where not every change is known, but what they led to.
+    /// Ranges of revisions for which only the net effect of the changes is known, not each change.
     gaps: Vec<Gap>,
 }
 
 impl ChangeLog {
-    /// Keeps a change, unless a later one is kept already.
+    /// Appends a change, unless the log already has a later one.
     pub(super) fn keep(&mut self, change: RevisedChange) {
         let newest = self.recent.back().map(|newest| newest.revision);
         if newest.is_some_and(|newest| change.revision < newest) {
@@ -37,8 +37,9 @@
         }
     }
 
-    /// Keeps the changes that lead from one snapshot to a newer one, so that nodes that are behind
-    /// are not all sent the whole because this one had to read it. To another era none lead.
+    /// Appends the changes that lead from one snapshot to a newer one, so that nodes that are
+    /// behind need not all be sent the whole snapshot because this node had to read it. No changes
+    /// lead from one era to another: the log is cleared then.
     pub(super) fn keep_difference(&mut self, older: &Snapshot, newer: &Snapshot) {
         if newer.revision == older.revision {
             return;
@@ -63,18 +64,18 @@
         }
     }
 
-    /// Takes note of gaps that another node told.
+    /// Adds gaps that another node reported together with its changes.
     pub(super) fn add_gaps(&mut self, gaps: Vec<Gap>) {
         self.gaps.extend(gaps);
     }
 
-    /// Whether the changes since `revision` are known apart.
+    /// Whether every single change since `revision` is in the log.
     pub(super) fn knows_changes_since(&self, revision: Revision) -> bool {
         let is_hidden = |gap: &Gap| gap.hides_changes_since(revision);
         !revision.is_none() && revision >= self.since && !self.gaps.iter().any(is_hidden)
     }
 
-    /// Whether a configuration of `version` or newer is among the changes after `revision`.
+    /// Whether the changes after `revision` include a configuration of `version` or newer.
     pub(super) fn tells_configuration(&self, revision: Revision, version: u64) -> bool {
         let later = self.recent.iter();
         let mut later = later.filter(|change| change.revision > revision);
@@ -84,7 +85,7 @@
         })
     }
 
-    /// The changes from `revision` to `newest`.
+    /// Returns the changes and gaps after `revision`, as an update to revision `newest`.
     pub(super) fn difference_since(&self, revision: Revision, newest: Revision) -> Update {
         let is_new = |change: &&RevisedChange| change.revision > revision;
         let is_later = |gap: &&Gap| gap.until > revision;
@@ -95,17 +96,17 @@
         }
     }
 
-    /// Forgets gaps before the changes that are kept.
+    /// Drops the gaps that end before the revisions that the log covers.
     fn forget_gaps(&mut self) {
         let kept_since = self.since;
         self.gaps.retain(|gap| gap.until > kept_since);
     }
 }
 
-/// The changes that lead from one snapshot to a newer one of the same era, in the order of their
-/// revisions. When a server went or the configuration changed is not known: at the latest with the
-/// newer snapshot. A source that tells its items in parts may tell some that are newer than their
-/// snapshot; these count as of that.
+/// Returns the changes that lead from one snapshot to a newer one of the same era, in the order of
+/// their revisions. The exact revision at which a server was removed or the configuration changed
+/// is unknown, so these get the revision of the newer snapshot. A source that delivers its items in
+/// several parts may deliver items newer than the snapshot; they get the snapshot's revision too.
 fn difference(older: &Snapshot, newer: &Snapshot) -> Vec<RevisedChange> {
     let first = older.revision.next().min(newer.revision);
     let mut changes: Vec<RevisedChange> = newer
--- a/crates/coordination/src/mesh/snapshot_store/departures.rs
+++ b/crates/coordination/src/mesh/snapshot_store/departures.rs
@@ -1,8 +1,9 @@
-//! Servers whose entries went, and what a source forgets of that if it comes back from a copy.
+//! Servers whose entries were removed, and servers that a source restored from a backup lists
+//! wrongly.
 //!
-//! A copy lists servers that have left since, as if they were there, and lacks those that joined
-//! since. Their entries are right again within seconds: servers that live write theirs again, and
-//! entries that nobody renews run out. Until then a node goes by what it knew.
+//! A backup still lists servers that have left since it was made, and lacks those that joined
+//! since. The entries are correct again within seconds: live servers rewrite theirs, and entries
+//! that nobody renews expire. Until then a node relies on what it knew before the restore.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -12,28 +13,29 @@
     InstanceId, KnownServer, Revision, ServerInstance, ServerState, Snapshot,
 };
 
-/// A server whose entry is gone without an announcement is remembered this long,
-/// and until the source has been available for as long: its entry may have run out
-/// while the source was away, and is back about two seconds after the source is,
-/// if the server lives. If its service has no other server, it is asked until then.
+/// How long a server is remembered whose entry disappeared without an announcement; the time
+/// counts only from when the source became available. The entry may have expired during an outage
+/// of the source, and a live server's entry is back about two seconds after the source is. Until
+/// then requests go to the server if its service has no other.
 const VANISHED_GRACE: Duration = Duration::from_millis(2500);
-/// How long an entry lasts that its server does not renew, unless told otherwise.
+/// Default time after which an entry expires that its server does not renew.
 const ENTRY_LIFETIME: Duration = Duration::from_millis(4500);
-/// How much later than that the removal of such an entry is known.
+/// Upper bound of the time between the expiry of an entry and the moment nodes learn of it.
 const REMOVAL_DELAY: Duration = Duration::from_millis(1500);
-/// Servers whose entries went that are remembered: more than go in the seconds that a copy lacks.
+/// Maximum number of removed servers that are remembered: more than leave during the seconds that
+/// a backup lacks.
 const KEPT_GONE: usize = 1024;
 
-/// Why a server is not among the entries.
+/// Why the source no longer lists the entry of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Missing {
-    /// Its entry was taken away, or ran out.
+    /// The entry was deleted, or it expired.
     Removed,
-    /// The source came back from a copy that lacks its entry.
+    /// The source was restored from a backup that lacks the entry.
     Lost,
 }
 
-/// A server that is no longer among the entries.
+/// A server whose entry the source no longer lists.
 #[derive(Clone, Debug)]
 struct Vanished {
     instance: ServerInstance,
@@ -41,21 +43,22 @@
     why: Missing,
 }
 
-/// The last entry of a server that went.
+/// The last known state of a server's entry before it was removed.
 #[derive(Clone, Copy, Debug)]
 struct LastEntry {
     revision: Revision,
     was_ready: bool,
 }
 
-/// Servers that went, or that an older copy says are back.
+/// Servers whose entries are missing, and servers that only a restored backup lists.
 #[derive(Clone, Debug)]
 pub(super) struct Departures {
     vanished: BTreeMap<InstanceId, Vanished>,
     gone: BTreeMap<InstanceId, LastEntry>,
-    /// The keys of `gone`, oldest first.
+    /// The keys of the map of removed servers, oldest removal first.
     gone_in_order: VecDeque<InstanceId>,
-    /// Servers that had gone without a word and that a copy lists again, and since when.
+    /// Servers that were removed without an announcement and that a restored backup lists again,
+    /// with the time at which it did.
     doubted: BTreeMap<InstanceId, Timestamp>,
     entry_lifetime: Duration,
 }
@@ -67,7 +70,8 @@
 }
 
 impl Departures {
-    /// An entry that its server does not renew lasts for `entry_lifetime`.
+    /// Creates an empty record for a source whose entries expire `entry_lifetime` after their last
+    /// renewal.
     pub(super) fn new(entry_lifetime: Duration) -> Self {
         Departures {
             vanished: BTreeMap::new(),
@@ -78,7 +82,7 @@
         }
     }
 
-    /// The entry of a server is missing from now on.
+    /// Records that the entry of a server is missing from `now` on.
     pub(super) fn note_missing(&mut self, now: Timestamp, known: KnownServer, why: Missing) {
         let KnownServer { instance, revision } = known;
         let was_doubted = self.doubted.remove(&instance.id).is_some();
@@ -96,7 +100,8 @@
         self.vanished.insert(vanished.instance.id.clone(), vanished);
     }
 
-    /// A server has written its entry, as whatever start of it.
+    /// Records that a server has written its entry. Everything recorded about any incarnation of
+    /// it is dropped.
     pub(super) fn note_written(&mut self, id: &InstanceId) {
         remove_starts(&mut self.vanished, id);
         remove_starts(&mut self.doubted, id);
@@ -105,9 +110,9 @@
         }
     }
 
-    /// Brings `newer`, which the source gave as a whole, in line with what was known before: a
-    /// server that leaves does not come back. If it is of a new era, the source may have lost
-    /// that it leaves, or went, or has started again since.
+    /// Corrects `newer`, a whole snapshot read from the source, by what was known before: a
+    /// draining server does not become ready again. If the snapshot is of a new era, the source may
+    /// have lost that a server is draining, was removed, or has restarted.
     pub(super) fn carry_over(&mut self, now: Timestamp, older: &Snapshot, newer: &mut Snapshot) {
         let is_new_era = newer.revision.era != older.revision.era;
         if is_new_era {
@@ -131,8 +136,9 @@
         }
     }
 
-    /// Forgets servers that vanished too long ago, and doubts about those that are still listed.
-    /// True if there were any. The source has been available since `available_since`.
+    /// Forgets servers that vanished too long ago, and trusts unconfirmed servers again that are
+    /// still listed after their entries would have expired. Returns whether anything changed. The
+    /// source has been available since `available_since`.
     pub(super) fn forget_old(&mut self, now: Timestamp, available_since: Timestamp) -> bool {
         let age = |since: Timestamp| now.saturating_since(available_since.max(since));
         let doubted_for = self.entry_lifetime + REMOVAL_DELAY;
@@ -143,13 +149,13 @@
         self.vanished.len() + self.doubted.len() < before
     }
 
-    /// Servers that vanished without announcing that they leave, and are not forgotten.
+    /// Servers that vanished without announcing that they leave, and that are still remembered.
     pub(super) fn recently_vanished(&self) -> impl Iterator<Item = &ServerInstance> {
         self.vanished_ready().map(|vanished| &vanished.instance)
     }
 
-    /// Those of them whose entries the source has lost: they are in use until it is clear that
-    /// they don't write them again.
+    /// The recently vanished servers whose entries the source lost by a restore. They stay in use
+    /// until a live server would have rewritten its entry.
     pub(super) fn lost(&self) -> impl Iterator<Item = &ServerInstance> {
         let lost = self.vanished_ready();
         let lost = lost.filter(|vanished| vanished.why == Missing::Lost);
@@ -161,7 +167,8 @@
         all.filter(|vanished| vanished.instance.is_ready())
     }
 
-    /// Whether a server that is listed had gone when the source still knew.
+    /// Whether a listed server is unconfirmed: it was removed before the source was restored from a
+    /// backup, and only the backup lists it again.
     pub(super) fn is_doubted(&self, id: &InstanceId) -> bool {
         self.doubted.contains_key(id)
     }
@@ -181,7 +188,7 @@
         }
     }
 
-    /// The last entry of this start of a server or a later one, if it went.
+    /// Returns the last entry of this incarnation of a server or a later one, if it was removed.
     fn last_entry(&self, id: &InstanceId) -> Option<LastEntry> {
         let starts = self.gone.range(id.clone()..);
         let starts = starts.take_while(|(gone, _)| gone.is_same_server(id));
@@ -189,7 +196,7 @@
     }
 }
 
-/// Takes all starts of a server out of `known`. True if there were any.
+/// Removes all incarnations of a server from `known`. Returns whether there were any.
 fn remove_starts<V>(known: &mut BTreeMap<InstanceId, V>, id: &InstanceId) -> bool {
     let starts = known.range(InstanceId::new(id.as_str())..);
     let starts = starts.take_while(|(start, _)| start.is_same_server(id));
@@ -200,7 +207,7 @@
     !starts.is_empty()
 }
 
-/// Where `older` knows a later start of a server than `newer`, it stays.
+/// Replaces servers in `newer` by their later incarnations if `older` has these.
 fn keep_later_starts(older: &Snapshot, newer: &mut Snapshot) {
     for (id, known) in &older.servers {
         let Some(listed) = newer.server(id).cloned() else {
--- a/crates/coordination/src/mesh/snapshot_store/mod.rs
+++ b/crates/coordination/src/mesh/snapshot_store/mod.rs
@@ -1,9 +1,8 @@
-//! What the node was told from outside, forward only.
+//! The node's snapshot of the source's items (configuration and servers), which only moves forward.
 //!
-//! A node hears of changes from the source itself and, where the source doesn't
-//! answer it, from other nodes. Whatever the way, nothing older replaces
-//! anything newer: also where the source comes back from an older copy of itself, and for a while
-//! says less than it did ([`departures`]).
+//! A node learns of changes from the source itself and, if the source doesn't answer it, from other
+//! nodes. Whichever way they arrive, older data never replaces newer data. This also holds if the
+//! source is restored from a backup and lacks recent changes for a while ([`departures`]).
 
 mod change_log;
 mod departures;
@@ -23,33 +22,33 @@
 use change_log::ChangeLog;
 use departures::{Departures, Missing};
 
-/// What came of a change.
+/// The effect of applying a change to the snapshot.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Applied {
-    /// The configuration in force is another one now.
+    /// The configuration in force was replaced.
     Configuration,
-    /// The servers are others now.
+    /// The list of servers changed.
     Servers,
-    /// It was older than what is known, or the same.
+    /// The change had no effect: it was not newer than what is known.
     Nothing,
-    /// The configuration can't be used; the one before stays.
+    /// The configuration is invalid; the previous one stays in force.
     Refused(Vec<ConfigurationError>),
 }
 
-/// The snapshot in force.
+/// The snapshot in force, with the log of changes that led to it.
 #[derive(Clone, Debug, Default)]
 pub struct SnapshotStore {
     snapshot: Arc<Snapshot>,
     departures: Departures,
-    /// The revisions of the entries with an address, which are few.
+    /// The revisions of the entries at each address. There are few per address.
     revisions_at: HashMap<SocketAddrV4, Vec<Revision>>,
-    /// The last changes.
+    /// The most recent changes, for nodes that are behind.
     changes: ChangeLog,
 }
 
 impl SnapshotStore {
-    /// Nothing, of a source in which an entry lasts for `entry_lifetime` if its server does not
-    /// renew it.
+    /// Creates an empty store for a source whose entries expire `entry_lifetime` after their last
+    /// renewal.
     pub fn new(entry_lifetime: Duration) -> Self {
         SnapshotStore {
             departures: Departures::new(entry_lifetime),
@@ -57,12 +56,12 @@
         }
     }
 
-    /// The snapshot in force.
+    /// Returns the snapshot in force.
     pub fn snapshot(&self) -> &Arc<Snapshot> {
         &self.snapshot
     }
 
-    /// Takes in one change that was made at `revision`.
+    /// Applies one change that was made at `revision`.
     pub fn apply(&mut self, now: Timestamp, revision: Revision, change: Change) -> Applied {
         if !revision.continues(self.snapshot.revision) {
             return Applied::Nothing;
@@ -82,14 +81,14 @@
         }
     }
 
-    /// All changes up to `revision` were applied.
+    /// Sets the revision of the snapshot, after all changes up to `revision` were applied.
     pub fn advance(&mut self, revision: Revision) {
         if revision.continues(self.snapshot.revision) {
             Arc::make_mut(&mut self.snapshot).revision = revision;
         }
     }
 
-    /// Takes in what another node knows.
+    /// Applies an update that another node sent.
     pub fn update(&mut self, now: Timestamp, update: Update) -> Vec<Applied> {
         match update {
             Update::Whole(snapshot) => self.replace(now, snapshot),
@@ -111,13 +110,14 @@
         }
     }
 
-    /// What this node says of its snapshot to others.
+    /// Returns the version of the snapshot, which this node reports to others.
     pub fn version(&self) -> SnapshotVersion {
         self.snapshot.version()
     }
 
-    /// Whether a node whose snapshot is of `theirs` needs the whole: the changes since are not
-    /// known apart, or they don't tell the configuration that is in force here.
+    /// Whether a node with a snapshot of version `theirs` must be sent the whole snapshot: the log
+    /// lacks some of the changes since then, or they don't include the configuration that is in
+    /// force here.
     pub fn needs_whole(&self, theirs: SnapshotVersion) -> bool {
         let configuration = self.version().configuration;
         let is_told = theirs.configuration >= configuration
@@ -127,7 +127,7 @@
         !self.changes.knows_changes_since(theirs.revision) || !is_told
     }
 
-    /// What a node needs whose snapshot is of `theirs`.
+    /// Returns the update for a node with a snapshot of version `theirs`.
     pub fn update_since(&self, theirs: SnapshotVersion) -> Update {
         match self.needs_whole(theirs) {
             true => Update::Whole((*self.snapshot).clone()),
@@ -138,8 +138,9 @@
         }
     }
 
-    /// Takes in a whole snapshot, if it is newer. It replaces all servers. Its configuration counts
-    /// by its own version: an older snapshot may have a newer one, if the source lost that.
+    /// Applies a whole snapshot, which replaces all servers if it is not older. Its configuration
+    /// is compared by its own version: an older snapshot may hold a newer configuration, if the
+    /// source lost that one.
     pub fn replace(&mut self, now: Timestamp, mut newer: Snapshot) -> Vec<Applied> {
         if newer.revision < self.snapshot.revision {
             let configuration = newer.configuration.into_iter();
@@ -173,24 +174,26 @@
         applied
     }
 
-    /// Forgets servers that vanished too long ago, and doubts about those that are listed all the
-    /// same. True if there were any. The source has been available since `available_since`; none
-    /// while it is lost: then nothing is forgotten, as no server can come back.
+    /// Forgets servers that vanished too long ago, and trusts unconfirmed servers again that are
+    /// still listed after their entries would have expired. Returns whether anything changed. The
+    /// source has been available since `available_since`. This is `None` during an outage: then
+    /// nothing is forgotten, as no server can rewrite its entry.
     pub fn forget_vanished(&mut self, now: Timestamp, available_since: Option<Timestamp>) -> bool {
         available_since.is_some_and(|since| self.departures.forget_old(now, since))
     }
 
-    /// Servers that vanished without announcing that they leave, and are not
-    /// forgotten.
+    /// Returns the servers that vanished without announcing that they leave, and that are still
+    /// remembered.
     pub fn recently_vanished(&self) -> Vec<ServerInstance> {
         self.departures.recently_vanished().cloned().collect()
     }
 
-    /// The servers that exist, as far as is known: of the services that are configured,
-    /// and of entries with one address only the newest, since a server that starts at an
-    /// address of before leaves the former one's entry to run out. One whose entry the source lost
-    /// is among them while its address isn't taken. One that vanished without a word, and one that
-    /// had gone and is listed by a copy, are among them only while their service has no other.
+    /// Returns the servers that are believed to exist. Only servers of configured services count.
+    /// Of several entries with the same address only the newest counts, since a server that starts
+    /// at an address used before leaves the former server's entry to expire. A server whose entry
+    /// the source lost by a restore is included unless another has its address. A server that
+    /// vanished without an announcement, or that was removed and only a restored backup lists, is
+    /// included only while its service has no other server.
     pub fn servers_in_force(&self) -> Vec<ServerInstance> {
         let listed = self.snapshot.servers.values();
         let listed = listed.filter(|known| self.is_configured(known) && !self.is_superseded(known));
@@ -223,8 +226,8 @@
         }
     }
 
-    /// Whether the server belongs to a service that the operators have named. Others get no
-    /// requests, and their nodes must not be chosen to watch or lend for all.
+    /// Whether the server belongs to a service of the configuration. Other servers get no requests,
+    /// and their nodes must not be chosen to watch the source or lend tokens for the fleet.
     fn is_configured(&self, known: &KnownServer) -> bool {
         let configuration = self.snapshot.configuration.as_ref();
         configuration.is_none_or(|configuration| {
@@ -246,7 +249,7 @@
         }
     }
 
-    /// Adds an entry. The work does not grow with the number of servers.
+    /// Adds an entry. The cost does not grow with the number of servers.
     fn insert_server(&mut self, server: KnownServer) {
         let revisions = self.revisions_at.entry(server.instance.address);
         revisions.or_default().push(server.revision);
@@ -254,7 +257,7 @@
         servers.insert(server.instance.id.clone(), server);
     }
 
-    /// Takes out an entry. The work does not grow with the number of servers.
+    /// Removes an entry. The cost does not grow with the number of servers.
     fn take_server(&mut self, id: &InstanceId) -> Option<KnownServer> {
         let removed = Arc::make_mut(&mut self.snapshot).servers.remove(id)?;
         let address = removed.instance.address;
@@ -289,7 +292,7 @@
         }
         let id = instance.id.clone();
         self.departures.note_written(&id);
-        // Of another start under the same identity nothing is left.
+        // Remove the entries of all other incarnations with the same identity.
         while let Some(known) = self.snapshot.server(&id) {
             let former = known.instance.id.clone();
             self.take_server(&former);
--- a/crates/coordination/tests/mesh_eras.rs
+++ b/crates/coordination/tests/mesh_eras.rs
@@ -1,5 +1,5 @@
-//! A source that comes back from an older copy of itself: its revisions go back and are given out
-//! again, and what nodes know does not go back with them.
+//! Tests for a source that is restored from an older backup: its revision numbers go back and are
+//! assigned again, while the nodes must not lose what they know.
 
 mod mesh_support;
 
@@ -12,9 +12,9 @@
 use mesh_support::{at, configuration, id, ms, route, server};
 use quickcheck::quickcheck;
 
-/// How long an entry lasts that nobody renews.
+/// Time after which an entry expires that nobody renews.
 const ENTRY_LIFETIME: Duration = Duration::from_millis(3000);
-/// By then what is doubted is listed no more, or right.
+/// Milliseconds after which an entry that only a backup lists has expired, or is confirmed.
 const DOUBTED_UNTIL: u64 = 5000;
 
 fn draining(name: &str, last_octet: u8) -> ServerInstance {
@@ -24,8 +24,8 @@
     }
 }
 
-/// A node at revision 20 of the first era, with version 21 and three servers: one ready, one that
-/// leaves, one whose entry went without a word.
+/// A node at revision 20 of the first era, with configuration version 21 and three servers: one
+/// ready, one draining, and one whose entry was removed without an announcement.
 fn node() -> SnapshotStore {
     let mut node = SnapshotStore::new(ENTRY_LIFETIME);
     let changes = [
@@ -47,7 +47,7 @@
     configuration(number, vec![route("r", "/")])
 }
 
-/// What the source holds when it comes back from a copy that was made at revision 16.
+/// The content of the source after a restore from a backup that was made at revision 16.
 fn copy(era: u64) -> Snapshot {
     let entries = [("i-ready", 1, 5), ("i-leaving", 2, 6), ("i-gone", 3, 7)];
     let servers = entries.map(|(name, octet, number)| {
@@ -171,11 +171,11 @@
         let known = node.snapshot().server(&id("i-leaving"));
         assert!(known.is_some_and(|known| !known.instance.is_ready()));
     }
-    // Others are told that it leaves.
+    // Other nodes are told that the server is draining.
     let mut started = SnapshotStore::new(ENTRY_LIFETIME);
     started.update(at(3001), node.update_since(SnapshotVersion::default()));
     assert!(!usable(&started).contains(&"i-leaving".to_owned()));
-    // The same entry, read once more.
+    // The same entry is read once more.
     node.replace(at(3002), copy(3));
     assert!(!usable(&node).contains(&"i-leaving".to_owned()));
 }
@@ -199,7 +199,11 @@
     assert!(!node.forget_vanished(at(1000 + 3000), Some(at(0))));
     assert_eq!(usable(&node), ["i-ready"]);
     assert!(node.forget_vanished(at(1000 + DOUBTED_UNTIL), Some(at(0))));
-    assert_eq!(usable(&node), ["i-gone", "i-ready"], "somebody renews it");
+    assert_eq!(
+        usable(&node),
+        ["i-gone", "i-ready"],
+        "an entry still listed is being renewed"
+    );
 }
 
 #[test]
@@ -209,12 +213,15 @@
     let written = Change::Server(server("i-gone", "a", 3));
     node.apply(at(1001), Revision::new(2, 17), written.clone());
     assert_eq!(usable(&node), ["i-gone", "i-ready"]);
-    // A node that reads the whole only after that.
+    // Another node reads the whole snapshot only after the entry was written again.
     let mut late = self::node();
     let mut whole = copy(2);
     let revision = Revision::new(2, 19);
     whole.revision = revision;
-    let entry = whole.servers.get_mut(&id("i-gone")).expect("it is listed");
+    let entry = whole
+        .servers
+        .get_mut(&id("i-gone"))
+        .expect("the backup lists i-gone");
     entry.revision = revision;
     late.replace(at(1002), whole);
     assert_eq!(usable(&late), ["i-gone", "i-ready"]);
@@ -284,7 +291,7 @@
     assert_eq!(usable(&node), ["i-again@200", "i-ready"]);
 }
 
-/// A source that can be copied, and go back to its copy.
+/// A source that can be backed up and restored from its backup.
 #[derive(Clone)]
 struct Source {
     now: SnapshotStore,
@@ -325,9 +332,9 @@
 }
 
 quickcheck! {
-    /// However often the source goes back, and whoever learns of it from whom: no node's
-    /// configuration or revision ever does, and all that end at the source's newest revision know
-    /// the servers that it lists.
+    /// However often the source is restored, and whichever node learns of it from whom: no node's
+    /// configuration or revision goes back, and all nodes that reach the source's newest revision
+    /// know the servers that it lists.
     fn nodes_go_forward_only(picks: Vec<(u8, u8, u8)>) -> bool {
         let mut source = Source::new();
         let mut nodes = vec![SnapshotStore::default(); 4];
--- a/crates/coordination/tests/mesh_snapshot_updates.rs
+++ b/crates/coordination/tests/mesh_snapshot_updates.rs
@@ -1,4 +1,4 @@
-//! What nodes know of the source's items, and how they tell each other only what they lack.
+//! Tests for the snapshot store: nodes send each other only the changes that the other one lacks.
 
 mod mesh_support;
 
@@ -102,7 +102,7 @@
     reader.replace(at(20), newer.clone());
     let mut told = between.clone();
     told.update(at(21), reader.update_since(version_of(5)));
-    // A server came at 7, and went again before the whole was read.
+    // A server joined at revision 7, and was removed before the whole snapshot was read.
     between.apply(
         at(7),
         at_revision(7),
@@ -150,8 +150,8 @@
     assert!(!store.snapshot().servers.contains_key(&id("i-2")));
 }
 
-/// Changes of one fleet, each server at an address of its own, made in a store and in two maps
-/// of the same size.
+/// A fleet with one address per server, whose changes are applied to a store and, for comparison,
+/// to two plain maps of the same size.
 struct ChangingFleet {
     servers: u64,
     revision: u64,
@@ -201,7 +201,8 @@
         self.by_id.insert(one.id.clone(), one);
     }
 
-    /// The times that a round of changes all over the fleet takes, in the store and in the maps.
+    /// Measures a round of changes spread over the whole fleet. Returns the time in the store and
+    /// the time in the maps.
     fn round(&mut self) -> [Duration; 2] {
         const CHANGES: u64 = 500;
         let servers = self.servers;
@@ -215,7 +216,7 @@
     }
 }
 
-/// How many times as long as in maps a change takes in the store, by the best rounds.
+/// Ratio of the time of a change in the store to that in the maps, each by its fastest round.
 fn cost_of_a_change(rounds: &[[Duration; 2]]) -> f64 {
     let best = |kind: usize| rounds.iter().map(|round| round[kind]).min();
     let (store, maps) = (best(0).expect("rounds"), best(1).expect("rounds"));
@@ -223,9 +224,9 @@
     store.as_secs_f64() / maps.as_secs_f64()
 }
 
-/// Each change walked all servers of the fleet, so that the start of a fleet cost each node the
-/// square of its size. Twice as much at ten times the size is allowed, of what plain maps of that
-/// size cost: these feel a cold cache and a busy machine as the store does.
+/// Guards against a change that iterates over all servers, which makes the cost of a fleet's start
+/// quadratic in its size at each node. The ratio to plain maps of the same size may double at ten
+/// times the size; cold caches and a busy machine slow the maps as much as the store.
 #[test]
 fn the_work_of_a_change_does_not_grow_with_the_fleet() {
     const ROUNDS: usize = 20;
@@ -240,7 +241,8 @@
     assert!(many < few * 2.0, "{many} against {few} times a map's");
 }
 
-/// Changes as a source makes them: servers come, change and go.
+/// Maps a random byte to a change as a source makes it: a server is added, changed or removed, or
+/// the configuration is replaced.
 fn change(pick: u8) -> Change {
     let name = format!("i-{}", pick % 7);
     match pick % 5 {
@@ -255,7 +257,8 @@
 }
 
 quickcheck! {
-    /// Some nodes read the whole from the source, the others ask these for what they lack.
+    /// Nodes that read whole snapshots from the source bring nodes that ask them to the same
+    /// snapshot.
     fn differences_of_wholes_lead_to_the_same_snapshot(picks: Vec<u8>, reads: Vec<(u8, u8)>) -> bool {
         let mut source = SnapshotStore::default();
         let mut nodes = vec![SnapshotStore::default(); 4];
@@ -277,8 +280,8 @@
         true
     }
 
-    /// However nodes take turns at asking each other, all that end at the newest
-    /// revision know the same.
+    /// In whatever order nodes ask each other for updates, all that reach the newest revision have
+    /// the same snapshot.
     fn updates_lead_to_the_same_snapshot(picks: Vec<u8>, asking: Vec<(u8, u8)>) -> bool {
         let mut source = SnapshotStore::default();
         let mut nodes = vec![SnapshotStore::default(); 4];
