--- a/crates/coordination/src/mesh/snapshot_store/change_log.rs
+++ b/crates/coordination/src/mesh/snapshot_store/change_log.rs
@@ -6,9 +6,9 @@
 
 /// Maximum number of changes in the log. A node that is further behind is sent the whole
 /// snapshot.
-const KEPT_CHANGES: usize = 1024;
+const MAX_LOGGED_CHANGES: usize = 1024;
 /// Maximum number of gaps in the log. When a further one would be added, the log is cleared.
-const KEPT_GAPS: usize = 32;
+const MAX_GAPS: usize = 32;
 
 /// The most recent changes of the source, in the order of their revisions.
 #[derive(Clone, Debug, Default)]
@@ -16,43 +16,43 @@
     /// The logged changes, in the order of their revisions.
     recent: VecDeque<RevisedChange>,
     /// The log covers all revisions after this one, except for what `gaps` hides.
-    since: Revision,
+    covered_since: Revision,
     /// Ranges of revisions for which only the net effect of the changes is known, not each change.
     gaps: Vec<Gap>,
 }
 
 impl ChangeLog {
     /// Appends a change, unless the log already has a later one.
-    pub(super) fn keep(&mut self, change: RevisedChange) {
+    pub(super) fn append(&mut self, change: RevisedChange) {
         let newest = self.recent.back().map(|newest| newest.revision);
         if newest.is_some_and(|newest| change.revision < newest) {
             return;
         }
         self.recent.push_back(change);
-        if self.recent.len() > KEPT_CHANGES
+        if self.recent.len() > MAX_LOGGED_CHANGES
             && let Some(oldest) = self.recent.pop_front()
         {
-            self.since = oldest.revision;
-            self.forget_gaps();
+            self.covered_since = oldest.revision;
+            self.drop_obsolete_gaps();
         }
     }
 
     /// Appends the changes that lead from one snapshot to a newer one, so that nodes that are
     /// behind need not all be sent the whole snapshot because this node had to read it. No changes
     /// lead from one era to another: the log is cleared then.
-    pub(super) fn keep_difference(&mut self, older: &Snapshot, newer: &Snapshot) {
+    pub(super) fn append_difference(&mut self, older: &Snapshot, newer: &Snapshot) {
         if newer.revision == older.revision {
             return;
         }
         let is_continued = newer.revision.era == older.revision.era && !older.revision.is_none();
         let difference = match is_continued {
-            true => difference(older, newer),
+            true => changes_between(older, newer),
             false => Vec::new(),
         };
-        if !is_continued || difference.len() > KEPT_CHANGES || self.gaps.len() >= KEPT_GAPS {
+        if !is_continued || difference.len() > MAX_LOGGED_CHANGES || self.gaps.len() >= MAX_GAPS {
             self.recent.clear();
-            self.since = newer.revision;
-            self.forget_gaps();
+            self.covered_since = newer.revision;
+            self.drop_obsolete_gaps();
             return;
         }
         self.gaps.push(Gap {
@@ -60,7 +60,7 @@
             until: newer.revision,
         });
         for change in difference {
-            self.keep(change);
+            self.append(change);
         }
     }
 
@@ -70,16 +70,18 @@
     }
 
     /// Whether every single change since `revision` is in the log.
-    pub(super) fn knows_changes_since(&self, revision: Revision) -> bool {
-        let is_hidden = |gap: &Gap| gap.hides_changes_since(revision);
-        !revision.is_none() && revision >= self.since && !self.gaps.iter().any(is_hidden)
+    pub(super) fn is_complete_since(&self, revision: Revision) -> bool {
+        let hides_changes = |gap: &Gap| gap.hides_changes_since(revision);
+        !revision.is_none()
+            && revision >= self.covered_since
+            && !self.gaps.iter().any(hides_changes)
     }
 
     /// Whether the changes after `revision` include a configuration of `version` or newer.
-    pub(super) fn tells_configuration(&self, revision: Revision, version: u64) -> bool {
+    pub(super) fn contains_configuration(&self, revision: Revision, version: u64) -> bool {
         let later = self.recent.iter();
-        let mut later = later.filter(|change| change.revision > revision);
-        later.any(|change| match &change.change {
+        let mut later_changes = later.filter(|change| change.revision > revision);
+        later_changes.any(|change| match &change.change {
             Change::Configuration(configuration) => configuration.version >= version,
             _ => false,
         })
@@ -97,9 +99,9 @@
     }
 
     /// Drops the gaps that end before the revisions that the log covers.
-    fn forget_gaps(&mut self) {
-        let kept_since = self.since;
-        self.gaps.retain(|gap| gap.until > kept_since);
+    fn drop_obsolete_gaps(&mut self) {
+        let covered_since = self.covered_since;
+        self.gaps.retain(|gap| gap.until > covered_since);
     }
 }
 
@@ -107,7 +109,7 @@
 /// their revisions. The exact revision at which a server was removed or the configuration changed
 /// is unknown, so these get the revision of the newer snapshot. A source that delivers its items in
 /// several parts may deliver items newer than the snapshot; they get the snapshot's revision too.
-fn difference(older: &Snapshot, newer: &Snapshot) -> Vec<RevisedChange> {
+fn changes_between(older: &Snapshot, newer: &Snapshot) -> Vec<RevisedChange> {
     let first = older.revision.next().min(newer.revision);
     let mut changes: Vec<RevisedChange> = newer
         .servers
@@ -119,14 +121,14 @@
         })
         .collect();
     changes.sort_by_key(|change| change.revision);
-    let gone = older.servers.keys().filter(|id| newer.server(id).is_none());
-    let gone = gone.cloned().map(Change::ServerGone);
+    let removed = older.servers.keys().filter(|id| newer.server(id).is_none());
+    let removed = removed.cloned().map(Change::ServerGone);
     let configuration = newer.configuration.iter();
     let configuration = configuration
         .filter(|newest| older.configuration.as_ref() != Some(newest))
         .cloned()
         .map(Change::Configuration);
-    changes.extend(gone.chain(configuration).map(|change| RevisedChange {
+    changes.extend(removed.chain(configuration).map(|change| RevisedChange {
         revision: newer.revision,
         change,
     }));
--- a/crates/coordination/src/mesh/snapshot_store/departures.rs
+++ b/crates/coordination/src/mesh/snapshot_store/departures.rs
@@ -24,15 +24,15 @@
 const REMOVAL_DELAY: Duration = Duration::from_millis(1500);
 /// Maximum number of removed servers that are remembered: more than leave during the seconds that
 /// a backup lacks.
-const KEPT_GONE: usize = 1024;
+const MAX_REMOVED_SERVERS: usize = 1024;
 
 /// Why the source no longer lists the entry of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Missing {
+pub(super) enum MissingReason {
     /// The entry was deleted, or it expired.
     Removed,
     /// The source was restored from a backup that lacks the entry.
-    Lost,
+    LostByRestore,
 }
 
 /// A server whose entry the source no longer lists.
@@ -40,7 +40,7 @@
 struct Vanished {
     instance: ServerInstance,
     since: Timestamp,
-    why: Missing,
+    reason: MissingReason,
 }
 
 /// The last known state of a server's entry before it was removed.
@@ -54,12 +54,12 @@
 #[derive(Clone, Debug)]
 pub(super) struct Departures {
     vanished: BTreeMap<InstanceId, Vanished>,
-    gone: BTreeMap<InstanceId, LastEntry>,
+    removed: BTreeMap<InstanceId, LastEntry>,
     /// The keys of the map of removed servers, oldest removal first.
-    gone_in_order: VecDeque<InstanceId>,
+    removal_order: VecDeque<InstanceId>,
     /// Servers that were removed without an announcement and that a restored backup lists again,
     /// with the time at which it did.
-    doubted: BTreeMap<InstanceId, Timestamp>,
+    unconfirmed: BTreeMap<InstanceId, Timestamp>,
     entry_lifetime: Duration,
 }
 
@@ -75,48 +75,58 @@
     pub(super) fn new(entry_lifetime: Duration) -> Self {
         Departures {
             vanished: BTreeMap::new(),
-            gone: BTreeMap::new(),
-            gone_in_order: VecDeque::new(),
-            doubted: BTreeMap::new(),
+            removed: BTreeMap::new(),
+            removal_order: VecDeque::new(),
+            unconfirmed: BTreeMap::new(),
             entry_lifetime,
         }
     }
 
     /// Records that the entry of a server is missing from `now` on.
-    pub(super) fn note_missing(&mut self, now: Timestamp, known: KnownServer, why: Missing) {
+    pub(super) fn record_missing(
+        &mut self,
+        now: Timestamp,
+        known: KnownServer,
+        reason: MissingReason,
+    ) {
         let KnownServer { instance, revision } = known;
-        let was_doubted = self.doubted.remove(&instance.id).is_some();
-        if why == Missing::Removed {
-            self.remember(&instance, revision);
+        let was_unconfirmed = self.unconfirmed.remove(&instance.id).is_some();
+        if reason == MissingReason::Removed {
+            self.record_removed(&instance, revision);
         }
-        if was_doubted {
+        if was_unconfirmed {
             return;
         }
         let vanished = Vanished {
             instance,
             since: now,
-            why,
+            reason,
         };
         self.vanished.insert(vanished.instance.id.clone(), vanished);
     }
 
     /// Records that a server has written its entry. Everything recorded about any incarnation of
     /// it is dropped.
-    pub(super) fn note_written(&mut self, id: &InstanceId) {
-        remove_starts(&mut self.vanished, id);
-        remove_starts(&mut self.doubted, id);
-        if remove_starts(&mut self.gone, id) {
-            self.gone_in_order.retain(|known| !known.is_same_server(id));
+    pub(super) fn record_written(&mut self, id: &InstanceId) {
+        remove_incarnations(&mut self.vanished, id);
+        remove_incarnations(&mut self.unconfirmed, id);
+        if remove_incarnations(&mut self.removed, id) {
+            self.removal_order.retain(|known| !known.is_same_server(id));
         }
     }
 
     /// Corrects `newer`, a whole snapshot read from the source, by what was known before: a
     /// draining server does not become ready again. If the snapshot is of a new era, the source may
     /// have lost that a server is draining, was removed, or has restarted.
-    pub(super) fn carry_over(&mut self, now: Timestamp, older: &Snapshot, newer: &mut Snapshot) {
+    pub(super) fn correct_snapshot(
+        &mut self,
+        now: Timestamp,
+        older: &Snapshot,
+        newer: &mut Snapshot,
+    ) {
         let is_new_era = newer.revision.era != older.revision.era;
         if is_new_era {
-            keep_later_starts(older, newer);
+            keep_later_incarnations(older, newer);
         }
         self.vanished.retain(|id, _| newer.server(id).is_none());
         for (id, entry) in &mut newer.servers {
@@ -124,14 +134,14 @@
                 continue;
             }
             let was_leaving = older.servers.get(id).is_some_and(|known| {
-                let is_unwritten = is_new_era || known.revision == entry.revision;
-                !known.instance.is_ready() && is_unwritten
+                let is_not_rewritten = is_new_era || known.revision == entry.revision;
+                !known.instance.is_ready() && is_not_rewritten
             });
-            let last = self.last_entry(id).filter(|_| is_new_era);
-            if was_leaving || last.is_some_and(|last| !last.was_ready) {
+            let last_entry = self.last_entry(id).filter(|_| is_new_era);
+            if was_leaving || last_entry.is_some_and(|last| !last.was_ready) {
                 entry.instance.state = ServerState::Draining;
-            } else if last.is_some_and(|last| entry.revision.number <= last.revision.number) {
-                self.doubted.insert(id.clone(), now);
+            } else if last_entry.is_some_and(|last| entry.revision.number <= last.revision.number) {
+                self.unconfirmed.insert(id.clone(), now);
             }
         }
     }
@@ -139,14 +149,15 @@
     /// Forgets servers that vanished too long ago, and trusts unconfirmed servers again that are
     /// still listed after their entries would have expired. Returns whether anything changed. The
     /// source has been available since `available_since`.
-    pub(super) fn forget_old(&mut self, now: Timestamp, available_since: Timestamp) -> bool {
+    pub(super) fn expire(&mut self, now: Timestamp, available_since: Timestamp) -> bool {
         let age = |since: Timestamp| now.saturating_since(available_since.max(since));
-        let doubted_for = self.entry_lifetime + REMOVAL_DELAY;
-        let before = self.vanished.len() + self.doubted.len();
+        let unconfirmed_for = self.entry_lifetime + REMOVAL_DELAY;
+        let before = self.vanished.len() + self.unconfirmed.len();
         self.vanished
             .retain(|_, vanished| age(vanished.since) < VANISHED_GRACE);
-        self.doubted.retain(|_, since| age(*since) < doubted_for);
-        self.vanished.len() + self.doubted.len() < before
+        self.unconfirmed
+            .retain(|_, since| age(*since) < unconfirmed_for);
+        self.vanished.len() + self.unconfirmed.len() < before
     }
 
     /// Servers that vanished without announcing that they leave, and that are still remembered.
@@ -156,9 +167,9 @@
 
     /// The recently vanished servers whose entries the source lost by a restore. They stay in use
     /// until a live server would have rewritten its entry.
-    pub(super) fn lost(&self) -> impl Iterator<Item = &ServerInstance> {
+    pub(super) fn lost_by_restore(&self) -> impl Iterator<Item = &ServerInstance> {
         let lost = self.vanished_ready();
-        let lost = lost.filter(|vanished| vanished.why == Missing::Lost);
+        let lost = lost.filter(|vanished| vanished.reason == MissingReason::LostByRestore);
         lost.map(|vanished| &vanished.instance)
     }
 
@@ -169,46 +180,48 @@
 
     /// Whether a listed server is unconfirmed: it was removed before the source was restored from a
     /// backup, and only the backup lists it again.
-    pub(super) fn is_doubted(&self, id: &InstanceId) -> bool {
-        self.doubted.contains_key(id)
+    pub(super) fn is_unconfirmed(&self, id: &InstanceId) -> bool {
+        self.unconfirmed.contains_key(id)
     }
 
-    fn remember(&mut self, instance: &ServerInstance, revision: Revision) {
+    fn record_removed(&mut self, instance: &ServerInstance, revision: Revision) {
         let last = LastEntry {
             revision,
             was_ready: instance.is_ready(),
         };
-        if self.gone.insert(instance.id.clone(), last).is_none() {
-            self.gone_in_order.push_back(instance.id.clone());
+        if self.removed.insert(instance.id.clone(), last).is_none() {
+            self.removal_order.push_back(instance.id.clone());
         }
-        if self.gone_in_order.len() > KEPT_GONE
-            && let Some(oldest) = self.gone_in_order.pop_front()
+        if self.removal_order.len() > MAX_REMOVED_SERVERS
+            && let Some(oldest) = self.removal_order.pop_front()
         {
-            self.gone.remove(&oldest);
+            self.removed.remove(&oldest);
         }
     }
 
     /// Returns the last entry of this incarnation of a server or a later one, if it was removed.
     fn last_entry(&self, id: &InstanceId) -> Option<LastEntry> {
-        let starts = self.gone.range(id.clone()..);
-        let starts = starts.take_while(|(gone, _)| gone.is_same_server(id));
-        starts.last().map(|(_, last)| *last)
+        let incarnations = self.removed.range(id.clone()..);
+        let incarnations = incarnations.take_while(|(removed, _)| removed.is_same_server(id));
+        incarnations.last().map(|(_, last)| *last)
     }
 }
 
 /// Removes all incarnations of a server from `known`. Returns whether there were any.
-fn remove_starts<V>(known: &mut BTreeMap<InstanceId, V>, id: &InstanceId) -> bool {
-    let starts = known.range(InstanceId::new(id.as_str())..);
-    let starts = starts.take_while(|(start, _)| start.is_same_server(id));
-    let starts: Vec<InstanceId> = starts.map(|(start, _)| start.clone()).collect();
-    for start in &starts {
-        known.remove(start);
+fn remove_incarnations<V>(known: &mut BTreeMap<InstanceId, V>, id: &InstanceId) -> bool {
+    let incarnations = known.range(InstanceId::new(id.as_str())..);
+    let incarnations = incarnations.take_while(|(incarnation, _)| incarnation.is_same_server(id));
+    let incarnations: Vec<InstanceId> = incarnations
+        .map(|(incarnation, _)| incarnation.clone())
+        .collect();
+    for incarnation in &incarnations {
+        known.remove(incarnation);
     }
-    !starts.is_empty()
+    !incarnations.is_empty()
 }
 
 /// Replaces servers in `newer` by their later incarnations if `older` has these.
-fn keep_later_starts(older: &Snapshot, newer: &mut Snapshot) {
+fn keep_later_incarnations(older: &Snapshot, newer: &mut Snapshot) {
     for (id, known) in &older.servers {
         let Some(listed) = newer.server(id).cloned() else {
             continue;
--- a/crates/coordination/src/mesh/snapshot_store/mod.rs
+++ b/crates/coordination/src/mesh/snapshot_store/mod.rs
@@ -20,7 +20,7 @@
 };
 
 use change_log::ChangeLog;
-use departures::{Departures, Missing};
+use departures::{Departures, MissingReason};
 
 /// The effect of applying a change to the snapshot.
 #[derive(Clone, Debug, PartialEq)]
@@ -41,7 +41,7 @@
     snapshot: Arc<Snapshot>,
     departures: Departures,
     /// The revisions of the entries at each address. There are few per address.
-    revisions_at: HashMap<SocketAddrV4, Vec<Revision>>,
+    revisions_by_address: HashMap<SocketAddrV4, Vec<Revision>>,
     /// The most recent changes, for nodes that are behind.
     changes: ChangeLog,
 }
@@ -66,14 +66,14 @@
         if !revision.continues(self.snapshot.revision) {
             return Applied::Nothing;
         }
-        self.changes.keep(RevisedChange {
+        self.changes.append(RevisedChange {
             revision,
             change: change.clone(),
         });
         match change {
             Change::Configuration(configuration) => self.apply_configuration(configuration),
             Change::Server(instance) => self.apply_server(revision, instance),
-            Change::ServerGone(id) => self.server_gone(now, revision, &id),
+            Change::ServerGone(id) => self.apply_server_gone(now, revision, &id),
             Change::ServerOverwritten(id) => match self.remove_server(revision, &id) {
                 Some(_) => Applied::Servers,
                 None => Applied::Nothing,
@@ -120,11 +120,11 @@
     /// force here.
     pub fn needs_whole(&self, theirs: SnapshotVersion) -> bool {
         let configuration = self.version().configuration;
-        let is_told = theirs.configuration >= configuration
+        let has_configuration = theirs.configuration >= configuration
             || self
                 .changes
-                .tells_configuration(theirs.revision, configuration);
-        !self.changes.knows_changes_since(theirs.revision) || !is_told
+                .contains_configuration(theirs.revision, configuration);
+        !self.changes.is_complete_since(theirs.revision) || !has_configuration
     }
 
     /// Returns the update for a node with a snapshot of version `theirs`.
@@ -147,25 +147,26 @@
             let applied = configuration.map(|newest| self.apply_configuration(newest));
             return applied.filter(|one| *one != Applied::Nothing).collect();
         }
-        self.departures.carry_over(now, &self.snapshot, &mut newer);
-        self.changes.keep_difference(&self.snapshot, &newer);
+        self.departures
+            .correct_snapshot(now, &self.snapshot, &mut newer);
+        self.changes.append_difference(&self.snapshot, &newer);
         let mut applied = Vec::new();
         if let Some(configuration) = newer.configuration.take() {
             applied.push(self.apply_configuration(configuration));
         }
         let before = self.snapshot.servers.clone();
         if before != newer.servers {
-            let why = match newer.revision.era == self.snapshot.revision.era {
-                true => Missing::Removed,
-                false => Missing::Lost,
+            let reason = match newer.revision.era == self.snapshot.revision.era {
+                true => MissingReason::Removed,
+                false => MissingReason::LostByRestore,
             };
             for (id, known) in before {
                 if newer.server(&id).is_none() {
-                    self.departures.note_missing(now, known, why);
+                    self.departures.record_missing(now, known, reason);
                 }
             }
             Arc::make_mut(&mut self.snapshot).servers = newer.servers;
-            self.index_addresses();
+            self.rebuild_address_index();
             applied.push(Applied::Servers);
         }
         if newer.revision > self.snapshot.revision {
@@ -179,7 +180,7 @@
     /// source has been available since `available_since`. This is `None` during an outage: then
     /// nothing is forgotten, as no server can rewrite its entry.
     pub fn forget_vanished(&mut self, now: Timestamp, available_since: Option<Timestamp>) -> bool {
-        available_since.is_some_and(|since| self.departures.forget_old(now, since))
+        available_since.is_some_and(|since| self.departures.expire(now, since))
     }
 
     /// Returns the servers that vanished without announcing that they leave, and that are still
@@ -197,15 +198,16 @@
     pub fn servers_in_force(&self) -> Vec<ServerInstance> {
         let listed = self.snapshot.servers.values();
         let listed = listed.filter(|known| self.is_configured(known) && !self.is_superseded(known));
-        let is_doubted = |known: &&KnownServer| self.departures.is_doubted(&known.instance.id);
-        let (doubted, trusted): (Vec<_>, Vec<_>) = listed.partition(is_doubted);
+        let is_unconfirmed =
+            |known: &&KnownServer| self.departures.is_unconfirmed(&known.instance.id);
+        let (unconfirmed, trusted): (Vec<_>, Vec<_>) = listed.partition(is_unconfirmed);
         let trusted = trusted.into_iter().map(|known| known.instance.clone());
         let mut servers: Vec<ServerInstance> = trusted.collect();
-        self.add_lost(&mut servers);
+        self.add_lost_servers(&mut servers);
         let vanished = self.departures.recently_vanished();
-        let doubted = doubted.into_iter().map(|known| &known.instance);
+        let unconfirmed = unconfirmed.into_iter().map(|known| &known.instance);
         let last_resorts: Vec<ServerInstance> = vanished
-            .chain(doubted)
+            .chain(unconfirmed)
             .filter(|instance| {
                 !servers.iter().any(|server| {
                     server.service == instance.service || server.address == instance.address
@@ -217,8 +219,8 @@
         servers
     }
 
-    fn add_lost(&self, servers: &mut Vec<ServerInstance>) {
-        for lost in self.departures.lost() {
+    fn add_lost_servers(&self, servers: &mut Vec<ServerInstance>) {
+        for lost in self.departures.lost_by_restore() {
             let is_taken = servers.iter().any(|server| server.address == lost.address);
             if !is_taken {
                 servers.push(lost.clone());
@@ -237,31 +239,31 @@
     }
 
     fn is_superseded(&self, known: &KnownServer) -> bool {
-        let revisions = self.revisions_at.get(&known.instance.address);
+        let revisions = self.revisions_by_address.get(&known.instance.address);
         revisions.is_some_and(|all| all.iter().any(|revision| *revision > known.revision))
     }
 
-    fn index_addresses(&mut self) {
-        self.revisions_at.clear();
+    fn rebuild_address_index(&mut self) {
+        self.revisions_by_address.clear();
         for known in self.snapshot.servers.values() {
-            let revisions = self.revisions_at.entry(known.instance.address);
+            let revisions = self.revisions_by_address.entry(known.instance.address);
             revisions.or_default().push(known.revision);
         }
     }
 
     /// Adds an entry. The cost does not grow with the number of servers.
     fn insert_server(&mut self, server: KnownServer) {
-        let revisions = self.revisions_at.entry(server.instance.address);
+        let revisions = self.revisions_by_address.entry(server.instance.address);
         revisions.or_default().push(server.revision);
         let servers = &mut Arc::make_mut(&mut self.snapshot).servers;
         servers.insert(server.instance.id.clone(), server);
     }
 
     /// Removes an entry. The cost does not grow with the number of servers.
-    fn take_server(&mut self, id: &InstanceId) -> Option<KnownServer> {
+    fn remove_entry(&mut self, id: &InstanceId) -> Option<KnownServer> {
         let removed = Arc::make_mut(&mut self.snapshot).servers.remove(id)?;
         let address = removed.instance.address;
-        if let Entry::Occupied(mut revisions) = self.revisions_at.entry(address) {
+        if let Entry::Occupied(mut revisions) = self.revisions_by_address.entry(address) {
             revisions
                 .get_mut()
                 .retain(|revision| *revision != removed.revision);
@@ -291,20 +293,26 @@
             return Applied::Nothing;
         }
         let id = instance.id.clone();
-        self.departures.note_written(&id);
+        self.departures.record_written(&id);
         // Remove the entries of all other incarnations with the same identity.
         while let Some(known) = self.snapshot.server(&id) {
             let former = known.instance.id.clone();
-            self.take_server(&former);
+            self.remove_entry(&former);
         }
         self.insert_server(KnownServer { instance, revision });
         Applied::Servers
     }
 
-    fn server_gone(&mut self, now: Timestamp, revision: Revision, id: &InstanceId) -> Applied {
+    fn apply_server_gone(
+        &mut self,
+        now: Timestamp,
+        revision: Revision,
+        id: &InstanceId,
+    ) -> Applied {
         match self.remove_server(revision, id) {
             Some(server) => {
-                self.departures.note_missing(now, server, Missing::Removed);
+                self.departures
+                    .record_missing(now, server, MissingReason::Removed);
                 Applied::Servers
             }
             None => Applied::Nothing,
@@ -316,7 +324,7 @@
         if known.revision > revision {
             return None;
         }
-        let start = known.instance.id.clone();
-        self.take_server(&start)
+        let incarnation_id = known.instance.id.clone();
+        self.remove_entry(&incarnation_id)
     }
 }
--- a/crates/coordination/tests/mesh_eras.rs
+++ b/crates/coordination/tests/mesh_eras.rs
@@ -15,7 +15,7 @@
 /// Time after which an entry expires that nobody renews.
 const ENTRY_LIFETIME: Duration = Duration::from_millis(3000);
 /// Milliseconds after which an entry that only a backup lists has expired, or is confirmed.
-const DOUBTED_UNTIL: u64 = 5000;
+const UNCONFIRMED_MS: u64 = 5000;
 
 fn draining(name: &str, last_octet: u8) -> ServerInstance {
     ServerInstance {
@@ -26,7 +26,7 @@
 
 /// A node at revision 20 of the first era, with configuration version 21 and three servers: one
 /// ready, one draining, and one whose entry was removed without an announcement.
-fn node() -> SnapshotStore {
+fn node_before_restore() -> SnapshotStore {
     let mut node = SnapshotStore::new(ENTRY_LIFETIME);
     let changes = [
         (5, Change::Server(server("i-ready", "a", 1))),
@@ -34,7 +34,7 @@
         (7, Change::Server(server("i-gone", "a", 3))),
         (17, Change::Server(draining("i-leaving", 2))),
         (18, Change::ServerGone(id("i-gone"))),
-        (20, Change::Configuration(version(21))),
+        (20, Change::Configuration(configuration_of_version(21))),
     ];
     for (number, change) in changes {
         node.apply(at(number), Revision::new(1, number), change);
@@ -43,12 +43,12 @@
     node
 }
 
-fn version(number: u64) -> lifthollow_state::mesh::Configuration {
+fn configuration_of_version(number: u64) -> lifthollow_state::mesh::Configuration {
     configuration(number, vec![route("r", "/")])
 }
 
 /// The content of the source after a restore from a backup that was made at revision 16.
-fn copy(era: u64) -> Snapshot {
+fn restored_snapshot(era: u64) -> Snapshot {
     let entries = [("i-ready", 1, 5), ("i-leaving", 2, 6), ("i-gone", 3, 7)];
     let servers = entries.map(|(name, octet, number)| {
         let known = KnownServer {
@@ -59,16 +59,16 @@
     });
     Snapshot {
         revision: Revision::new(era, 16),
-        configuration: Some(version(18)),
+        configuration: Some(configuration_of_version(18)),
         servers: servers.into(),
     }
 }
 
-fn version_at(node: &SnapshotStore) -> u64 {
+fn configuration_version(node: &SnapshotStore) -> u64 {
     node.version().configuration
 }
 
-fn usable(node: &SnapshotStore) -> Vec<String> {
+fn ready_servers(node: &SnapshotStore) -> Vec<String> {
     let servers = node.servers_in_force();
     let ready = servers.iter().filter(|server| server.is_ready());
     let mut ready: Vec<String> = ready.map(|server| server.id.to_string()).collect();
@@ -78,8 +78,8 @@
 
 #[test]
 fn a_snapshot_of_a_later_era_is_newer_whatever_its_number() {
-    let mut node = node();
-    node.replace(at(1000), copy(2));
+    let mut node = node_before_restore();
+    node.replace(at(1000), restored_snapshot(2));
     assert_eq!(node.snapshot().revision, Revision::new(2, 16));
     let late = Snapshot {
         revision: Revision::new(1, 500),
@@ -91,13 +91,13 @@
 
 #[test]
 fn changes_of_another_era_are_not_applied() {
-    let mut node = node();
+    let mut node = node_before_restore();
     let joined = || Change::Server(server("i-new", "a", 4));
     let other = Revision::new(2, 21);
     assert_eq!(node.apply(at(1000), other, joined()), Applied::Nothing);
     node.advance(other);
     assert_eq!(node.snapshot().revision, Revision::new(1, 20));
-    node.replace(at(1001), copy(2));
+    node.replace(at(1001), restored_snapshot(2));
     let former = Revision::new(1, 21);
     assert_eq!(node.apply(at(1002), former, joined()), Applied::Nothing);
     let next = Revision::new(2, 17);
@@ -105,34 +105,34 @@
 }
 
 #[test]
-fn a_node_of_an_earlier_era_is_sent_the_whole() {
-    let mut reader = node();
+fn a_node_of_an_earlier_era_is_sent_the_whole_snapshot() {
+    let mut reader = node_before_restore();
     let theirs = reader.version();
-    reader.replace(at(1000), copy(2));
+    reader.replace(at(1000), restored_snapshot(2));
     reader.apply(
         at(1001),
         Revision::new(2, 30),
-        Change::Configuration(version(25)),
+        Change::Configuration(configuration_of_version(25)),
     );
     reader.advance(Revision::new(2, 30));
     let update = reader.update_since(theirs);
     assert!(matches!(update, Update::Whole(_)));
-    let mut behind = node();
+    let mut behind = node_before_restore();
     behind.update(at(1002), update);
     assert_eq!(behind.version(), reader.version());
 }
 
 #[test]
-fn a_configuration_stays_until_a_newer_one_is_written() {
-    let mut node = node();
-    node.replace(at(1000), copy(2));
-    assert_eq!(version_at(&node), 21);
-    let again = Change::Configuration(version(21));
+fn a_restore_does_not_bring_back_an_older_configuration() {
+    let mut node = node_before_restore();
+    node.replace(at(1000), restored_snapshot(2));
+    assert_eq!(configuration_version(&node), 21);
+    let again = Change::Configuration(configuration_of_version(21));
     assert_eq!(
         node.apply(at(1001), Revision::new(2, 17), again),
         Applied::Nothing
     );
-    let newest = Change::Configuration(version(25));
+    let newest = Change::Configuration(configuration_of_version(25));
     assert_eq!(
         node.apply(at(1002), Revision::new(2, 18), newest),
         Applied::Configuration
@@ -140,82 +140,85 @@
 }
 
 #[test]
-fn a_node_that_knows_only_the_copy_is_sent_the_configuration_that_others_have() {
-    let mut carrying = node();
-    carrying.replace(at(1000), copy(2));
+fn a_node_that_knows_only_the_backup_is_sent_the_newer_configuration_of_others() {
+    let mut carrying = node_before_restore();
+    carrying.replace(at(1000), restored_snapshot(2));
     let mut started = SnapshotStore::new(ENTRY_LIFETIME);
-    started.replace(at(1000), copy(2));
-    assert_eq!(version_at(&started), 18);
+    started.replace(at(1000), restored_snapshot(2));
+    assert_eq!(configuration_version(&started), 18);
     assert!(started.version().lacks(carrying.version()));
     started.update(at(1001), carrying.update_since(started.version()));
-    assert_eq!(version_at(&started), 21);
+    assert_eq!(configuration_version(&started), 21);
     assert!(!started.version().lacks(carrying.version()));
 }
 
 #[test]
-fn a_node_that_is_behind_gives_the_newer_configuration_that_it_has() {
-    let behind = node();
+fn a_node_of_an_earlier_era_passes_on_its_newer_configuration() {
+    let behind = node_before_restore();
     let mut started = SnapshotStore::new(ENTRY_LIFETIME);
-    started.replace(at(1000), copy(2));
+    started.replace(at(1000), restored_snapshot(2));
     started.update(at(1001), behind.update_since(started.version()));
-    assert_eq!(version_at(&started), 21);
+    assert_eq!(configuration_version(&started), 21);
     assert_eq!(started.snapshot().revision, Revision::new(2, 16));
 }
 
 #[test]
-fn a_server_that_leaves_does_not_come_back_with_a_copy() {
-    let mut node = node();
+fn a_restore_does_not_make_a_draining_server_ready() {
+    let mut node = node_before_restore();
     for era in [2, 3] {
-        node.replace(at(era * 1000), copy(era));
-        assert!(!usable(&node).contains(&"i-leaving".to_owned()), "{era}");
+        node.replace(at(era * 1000), restored_snapshot(era));
+        assert!(
+            !ready_servers(&node).contains(&"i-leaving".to_owned()),
+            "{era}"
+        );
         let known = node.snapshot().server(&id("i-leaving"));
         assert!(known.is_some_and(|known| !known.instance.is_ready()));
     }
     // Other nodes are told that the server is draining.
     let mut started = SnapshotStore::new(ENTRY_LIFETIME);
     started.update(at(3001), node.update_since(SnapshotVersion::default()));
-    assert!(!usable(&started).contains(&"i-leaving".to_owned()));
+    assert!(!ready_servers(&started).contains(&"i-leaving".to_owned()));
     // The same entry is read once more.
-    node.replace(at(3002), copy(3));
-    assert!(!usable(&node).contains(&"i-leaving".to_owned()));
+    node.replace(at(3002), restored_snapshot(3));
+    assert!(!ready_servers(&node).contains(&"i-leaving".to_owned()));
 }
 
 #[test]
-fn a_server_that_announced_its_end_and_went_does_not_come_back_with_a_copy() {
-    let mut node = node();
+fn a_restore_does_not_make_a_drained_and_removed_server_ready() {
+    let mut node = node_before_restore();
     let gone = Change::ServerGone(id("i-leaving"));
     node.apply(at(21), Revision::new(1, 21), gone);
     node.advance(Revision::new(1, 21));
-    node.replace(at(1000), copy(2));
+    node.replace(at(1000), restored_snapshot(2));
     node.forget_vanished(at(60_000), Some(at(0)));
-    assert!(!usable(&node).contains(&"i-leaving".to_owned()));
+    assert!(!ready_servers(&node).contains(&"i-leaving".to_owned()));
 }
 
 #[test]
-fn a_server_that_had_gone_is_not_used_until_its_entry_has_outlived_its_time() {
-    let mut node = node();
-    node.replace(at(1000), copy(2));
-    assert_eq!(usable(&node), ["i-ready"]);
+fn a_removed_server_that_a_backup_lists_is_not_used_before_its_entry_would_have_expired() {
+    let mut node = node_before_restore();
+    node.replace(at(1000), restored_snapshot(2));
+    assert_eq!(ready_servers(&node), ["i-ready"]);
     assert!(!node.forget_vanished(at(1000 + 3000), Some(at(0))));
-    assert_eq!(usable(&node), ["i-ready"]);
-    assert!(node.forget_vanished(at(1000 + DOUBTED_UNTIL), Some(at(0))));
+    assert_eq!(ready_servers(&node), ["i-ready"]);
+    assert!(node.forget_vanished(at(1000 + UNCONFIRMED_MS), Some(at(0))));
     assert_eq!(
-        usable(&node),
+        ready_servers(&node),
         ["i-gone", "i-ready"],
         "an entry still listed is being renewed"
     );
 }
 
 #[test]
-fn a_server_that_had_gone_and_writes_again_is_used_at_once() {
-    let mut node = node();
-    node.replace(at(1000), copy(2));
+fn a_removed_server_that_writes_its_entry_again_is_used_at_once() {
+    let mut node = node_before_restore();
+    node.replace(at(1000), restored_snapshot(2));
     let written = Change::Server(server("i-gone", "a", 3));
     node.apply(at(1001), Revision::new(2, 17), written.clone());
-    assert_eq!(usable(&node), ["i-gone", "i-ready"]);
+    assert_eq!(ready_servers(&node), ["i-gone", "i-ready"]);
     // Another node reads the whole snapshot only after the entry was written again.
-    let mut late = self::node();
-    let mut whole = copy(2);
+    let mut late = self::node_before_restore();
+    let mut whole = restored_snapshot(2);
     let revision = Revision::new(2, 19);
     whole.revision = revision;
     let entry = whole
@@ -224,30 +227,30 @@
         .expect("the backup lists i-gone");
     entry.revision = revision;
     late.replace(at(1002), whole);
-    assert_eq!(usable(&late), ["i-gone", "i-ready"]);
+    assert_eq!(ready_servers(&late), ["i-gone", "i-ready"]);
 }
 
 #[test]
-fn a_server_that_had_gone_is_the_last_resort_of_its_service() {
-    let mut node = node();
-    let mut whole = copy(2);
+fn a_removed_server_that_a_backup_lists_is_used_if_its_service_has_no_other() {
+    let mut node = node_before_restore();
+    let mut whole = restored_snapshot(2);
     whole.servers.remove(&id("i-ready"));
     whole.servers.remove(&id("i-leaving"));
     node.replace(at(1000), whole);
     let removed = Change::ServerGone(id("i-ready"));
     node.apply(at(1001), Revision::new(2, 17), removed);
     node.forget_vanished(at(1000 + 3000), Some(at(0)));
-    assert_eq!(usable(&node), ["i-gone"]);
+    assert_eq!(ready_servers(&node), ["i-gone"]);
 }
 
 #[test]
-fn a_server_whose_entry_the_source_lost_stays_in_use_until_it_would_be_written_again() {
-    let mut node = node();
+fn a_server_whose_entry_a_restore_lost_stays_in_use_until_it_would_be_written_again() {
+    let mut node = node_before_restore();
     let joined = Change::Server(server("i-joined", "a", 4));
     node.apply(at(21), Revision::new(1, 21), joined.clone());
     node.advance(Revision::new(1, 21));
-    node.replace(at(1000), copy(2));
-    assert_eq!(usable(&node), ["i-joined", "i-ready"]);
+    node.replace(at(1000), restored_snapshot(2));
+    assert_eq!(ready_servers(&node), ["i-joined", "i-ready"]);
     let mut written = node.clone();
     written.apply(at(1500), Revision::new(2, 17), joined);
     for (mut node, expected) in [
@@ -255,55 +258,55 @@
         (node, vec!["i-ready"]),
     ] {
         node.forget_vanished(at(3600), Some(at(0)));
-        assert_eq!(usable(&node), expected);
+        assert_eq!(ready_servers(&node), expected);
     }
 }
 
 #[test]
-fn a_server_whose_address_is_taken_is_not_kept() {
-    let mut node = node();
+fn a_server_whose_entry_a_restore_lost_is_dropped_when_its_address_is_taken() {
+    let mut node = node_before_restore();
     let joined = Change::Server(server("i-joined", "a", 4));
     node.apply(at(21), Revision::new(1, 21), joined);
     node.advance(Revision::new(1, 21));
-    node.replace(at(1000), copy(2));
+    node.replace(at(1000), restored_snapshot(2));
     let taken = Change::Server(server("i-other", "a", 4));
     node.apply(at(1001), Revision::new(2, 17), taken);
-    assert_eq!(usable(&node), ["i-other", "i-ready"]);
+    assert_eq!(ready_servers(&node), ["i-other", "i-ready"]);
 }
 
 #[test]
-fn a_later_start_of_a_server_stays() {
+fn a_restore_does_not_bring_back_an_earlier_incarnation_of_a_server() {
     let start = |milliseconds| ServerInstance {
         id: id("i-again").started_at(milliseconds),
         ..server("i-again", "a", 5)
     };
-    let mut node = node();
+    let mut node = node_before_restore();
     let again = Change::Server(start(200));
     node.apply(at(21), Revision::new(1, 21), again);
     node.advance(Revision::new(1, 21));
-    let mut whole = copy(2);
+    let mut whole = restored_snapshot(2);
     let former = KnownServer {
         instance: start(100),
         revision: Revision::new(2, 8),
     };
     whole.servers.insert(former.instance.id.clone(), former);
     node.replace(at(1000), whole);
-    assert_eq!(usable(&node), ["i-again@200", "i-ready"]);
+    assert_eq!(ready_servers(&node), ["i-again@200", "i-ready"]);
 }
 
 /// A source that can be backed up and restored from its backup.
 #[derive(Clone)]
-struct Source {
-    now: SnapshotStore,
-    copy: Snapshot,
+struct RestorableSource {
+    store: SnapshotStore,
+    backup: Snapshot,
     version: u64,
 }
 
-impl Source {
+impl RestorableSource {
     fn new() -> Self {
-        Source {
-            now: SnapshotStore::default(),
-            copy: Snapshot {
+        RestorableSource {
+            store: SnapshotStore::default(),
+            backup: Snapshot {
                 revision: Revision::new(1, 1),
                 ..Snapshot::default()
             },
@@ -312,22 +315,22 @@
     }
 
     fn write(&mut self, change: Change) {
-        let revision = match self.now.snapshot().revision {
+        let revision = match self.store.snapshot().revision {
             Revision::NONE => Revision::new(1, 1),
             newest => newest.next(),
         };
-        self.now.apply(at(0), revision, change);
-        self.now.advance(revision);
+        self.store.apply(at(0), revision, change);
+        self.store.advance(revision);
     }
 
-    fn go_back(&mut self) {
-        let mut copy = self.copy.clone();
-        copy.revision.era = self.now.snapshot().revision.era.max(1) + 1;
-        for known in copy.servers.values_mut() {
-            known.revision.era = copy.revision.era;
+    fn restore(&mut self) {
+        let mut restored = self.backup.clone();
+        restored.revision.era = self.store.snapshot().revision.era.max(1) + 1;
+        for known in restored.servers.values_mut() {
+            known.revision.era = restored.revision.era;
         }
-        self.now = SnapshotStore::default();
-        self.now.replace(at(0), copy);
+        self.store = SnapshotStore::default();
+        self.store.replace(at(0), restored);
     }
 }
 
@@ -335,16 +338,16 @@
     /// However often the source is restored, and whichever node learns of it from whom: no node's
     /// configuration or revision goes back, and all nodes that reach the source's newest revision
     /// know the servers that it lists.
-    fn nodes_go_forward_only(picks: Vec<(u8, u8, u8)>) -> bool {
-        let mut source = Source::new();
+    fn restores_never_move_nodes_back(picks: Vec<(u8, u8, u8)>) -> bool {
+        let mut source = RestorableSource::new();
         let mut nodes = vec![SnapshotStore::default(); 4];
         for (kind, from, to) in picks {
             match kind % 8 {
-                0 => source.copy = (**source.now.snapshot()).clone(),
-                1 => source.go_back(),
+                0 => source.backup = (**source.store.snapshot()).clone(),
+                1 => source.restore(),
                 2 => {
                     source.version += 1;
-                    source.write(Change::Configuration(version(source.version)));
+                    source.write(Change::Configuration(configuration_of_version(source.version)));
                 }
                 3 => source.write(Change::ServerGone(id(&format!("i-{}", from % 5)))),
                 4 => {
@@ -352,7 +355,7 @@
                     source.write(Change::Server(server(&name, "a", from % 5)));
                 }
                 5 => {
-                    let whole = (**source.now.snapshot()).clone();
+                    let whole = (**source.store.snapshot()).clone();
                     let before = nodes[usize::from(to) % 4].version();
                     nodes[usize::from(to) % 4].replace(at(0), whole);
                     let after = nodes[usize::from(to) % 4].version();
@@ -371,16 +374,16 @@
                 }
             }
         }
-        source.write(Change::Configuration(version(source.version + 1)));
+        source.write(Change::Configuration(configuration_of_version(source.version + 1)));
         nodes.into_iter().all(|mut node| {
-            node.replace(at(0), (**source.now.snapshot()).clone());
-            node.version() == source.now.version()
-                && node.snapshot().servers.keys().eq(source.now.snapshot().servers.keys())
+            node.replace(at(0), (**source.store.snapshot()).clone());
+            node.version() == source.store.version()
+                && node.snapshot().servers.keys().eq(source.store.snapshot().servers.keys())
         })
     }
 }
 
 #[test]
-fn an_entry_lasts_no_longer_than_it_is_doubted() {
-    assert!(ENTRY_LIFETIME < ms(DOUBTED_UNTIL));
+fn an_entry_expires_before_it_is_trusted_again() {
+    assert!(ENTRY_LIFETIME < ms(UNCONFIRMED_MS));
 }
--- a/crates/coordination/tests/mesh_snapshot_updates.rs
+++ b/crates/coordination/tests/mesh_snapshot_updates.rs
@@ -11,7 +11,7 @@
 use mesh_support::{at, at_revision, configuration, id, route, server, version_of};
 use quickcheck::quickcheck;
 
-fn store_of(count: u64) -> SnapshotStore {
+fn store_with_servers(count: u64) -> SnapshotStore {
     let mut store = SnapshotStore::default();
     for revision in 1..=count {
         let name = format!("i-{revision}");
@@ -24,12 +24,12 @@
 
 #[test]
 fn a_node_that_is_behind_is_sent_only_what_it_lacks() {
-    let store = store_of(9);
+    let store = store_with_servers(9);
     let Update::Difference {
         revision, changes, ..
     } = store.update_since(version_of(7))
     else {
-        panic!("the whole was sent");
+        panic!("the whole snapshot was sent instead of a difference");
     };
     assert_eq!(revision, at_revision(9));
     let revisions: Vec<Revision> = changes.iter().map(|change| change.revision).collect();
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn a_node_that_knows_nothing_or_is_too_far_behind_is_sent_the_whole() {
-    let store = store_of(2000);
+fn a_node_that_knows_nothing_or_is_too_far_behind_is_sent_the_whole_snapshot() {
+    let store = store_with_servers(2000);
     assert!(matches!(
         store.update_since(version_of(0)),
         Update::Whole(_)
@@ -54,8 +54,8 @@
 }
 
 #[test]
-fn a_node_that_read_the_whole_tells_others_only_what_they_lack() {
-    let mut reader = store_of(2000);
+fn a_node_that_read_the_whole_snapshot_sends_others_only_what_they_lack() {
+    let mut reader = store_with_servers(2000);
     let mut behind = reader.clone();
     let mut newer = (**reader.snapshot()).clone();
     newer.revision = at_revision(2500);
@@ -69,7 +69,7 @@
     reader.replace(at(3000), newer.clone());
     let update = reader.update_since(version_of(2000));
     let Update::Difference { changes, .. } = &update else {
-        panic!("the whole was sent");
+        panic!("the whole snapshot was sent instead of a difference");
     };
     assert_eq!(changes.len(), 3, "{changes:?}");
     behind.update(at(3001), update);
@@ -81,10 +81,10 @@
 }
 
 #[test]
-fn a_node_that_knew_nothing_or_little_of_the_whole_sends_the_whole() {
-    let whole = (**store_of(2000).snapshot()).clone();
+fn a_node_that_knew_little_before_it_read_the_whole_snapshot_sends_the_whole_snapshot() {
+    let whole = (**store_with_servers(2000).snapshot()).clone();
     for known in [0, 3] {
-        let mut store = store_of(known);
+        let mut store = store_with_servers(known);
         store.replace(at(3000), whole.clone());
         assert!(matches!(
             store.update_since(version_of(known)),
@@ -94,8 +94,8 @@
 }
 
 #[test]
-fn a_node_between_what_was_read_and_what_was_known_before_is_sent_the_whole() {
-    let mut between = store_of(5);
+fn a_node_whose_revision_lies_in_a_gap_of_the_log_is_sent_the_whole_snapshot() {
+    let mut between = store_with_servers(5);
     let mut reader = between.clone();
     let mut newer = (**reader.snapshot()).clone();
     newer.revision = at_revision(9);
@@ -114,15 +114,15 @@
             store.update_since(version_of(7)),
             Update::Whole(_)
         ));
-        let mut one = between.clone();
-        one.update(at(22), store.update_since(version_of(7)));
-        assert_eq!(**one.snapshot(), newer);
+        let mut receiver = between.clone();
+        receiver.update(at(22), store.update_since(version_of(7)));
+        assert_eq!(**receiver.snapshot(), newer);
     }
 }
 
 #[test]
-fn an_item_newer_than_the_snapshot_it_was_told_with_reaches_all() {
-    let mut reader = store_of(10);
+fn an_item_newer_than_the_snapshot_it_was_read_with_reaches_all_nodes() {
+    let mut reader = store_with_servers(10);
     let mut behind = reader.clone();
     let mut newer = (**reader.snapshot()).clone();
     newer.revision = at_revision(12);
@@ -141,8 +141,8 @@
 }
 
 #[test]
-fn what_the_snapshot_includes_is_not_applied_again() {
-    let mut store = store_of(3);
+fn a_change_older_than_the_snapshot_is_not_applied() {
+    let mut store = store_with_servers(3);
     store.apply(at(10), at_revision(4), Change::ServerGone(id("i-2")));
     store.advance(at_revision(4));
     let late = Change::Server(server("i-2", "a", 2));
@@ -178,48 +178,52 @@
 
     fn next_change(&mut self, number: u64) -> (Revision, ServerInstance) {
         self.revision += 1;
-        let mut one = server(&format!("i-{number}"), "a", 1);
+        let mut changed = server(&format!("i-{number}"), "a", 1);
         let octets = (number as u32).to_be_bytes();
-        one.address
+        changed
+            .address
             .set_ip([10, octets[1], octets[2], octets[3]].into());
-        one.slots = self.revision as u32;
-        (at_revision(self.revision), one)
+        changed.slots = self.revision as u32;
+        (at_revision(self.revision), changed)
     }
 
     fn change_store(&mut self, number: u64) {
-        let (revision, one) = self.next_change(number);
+        let (revision, changed) = self.next_change(number);
         let now = at(self.revision);
-        let applied = self.store.apply(now, revision, Change::Server(one));
+        let applied = self.store.apply(now, revision, Change::Server(changed));
         assert_eq!(applied, Applied::Servers);
         self.store.advance(revision);
     }
 
     fn change_maps(&mut self, number: u64) {
-        let (revision, one) = self.next_change(number);
-        self.by_address.insert(one.address, revision);
-        self.by_id.remove(&one.id);
-        self.by_id.insert(one.id.clone(), one);
+        let (revision, changed) = self.next_change(number);
+        self.by_address.insert(changed.address, revision);
+        self.by_id.remove(&changed.id);
+        self.by_id.insert(changed.id.clone(), changed);
     }
 
     /// Measures a round of changes spread over the whole fleet. Returns the time in the store and
     /// the time in the maps.
-    fn round(&mut self) -> [Duration; 2] {
+    fn measure_round(&mut self) -> [Duration; 2] {
         const CHANGES: u64 = 500;
         let servers = self.servers;
         let numbers = || (0..CHANGES).map(|place| place * servers / CHANGES + 1);
         let began = Instant::now();
         numbers().for_each(|number| self.change_store(number));
-        let in_store = began.elapsed();
+        let store_time = began.elapsed();
         let began = Instant::now();
         numbers().for_each(|number| self.change_maps(number));
-        [in_store, began.elapsed()]
+        [store_time, began.elapsed()]
     }
 }
 
 /// Ratio of the time of a change in the store to that in the maps, each by its fastest round.
-fn cost_of_a_change(rounds: &[[Duration; 2]]) -> f64 {
+fn store_to_maps_ratio(rounds: &[[Duration; 2]]) -> f64 {
     let best = |kind: usize| rounds.iter().map(|round| round[kind]).min();
-    let (store, maps) = (best(0).expect("rounds"), best(1).expect("rounds"));
+    let (store, maps) = (
+        best(0).expect("at least one round was measured"),
+        best(1).expect("at least one round was measured"),
+    );
     println!("{store:?} in the store, {maps:?} in maps");
     store.as_secs_f64() / maps.as_secs_f64()
 }
@@ -228,30 +232,30 @@
 /// quadratic in its size at each node. The ratio to plain maps of the same size may double at ten
 /// times the size; cold caches and a busy machine slow the maps as much as the store.
 #[test]
-fn the_work_of_a_change_does_not_grow_with_the_fleet() {
+fn the_cost_of_a_change_does_not_grow_with_the_fleet() {
     const ROUNDS: usize = 20;
     let mut small = ChangingFleet::new(1_000);
     let mut large = ChangingFleet::new(10_000);
     let (mut few, mut many) = (Vec::new(), Vec::new());
     for _ in 0..ROUNDS {
-        few.push(small.round());
-        many.push(large.round());
+        few.push(small.measure_round());
+        many.push(large.measure_round());
     }
-    let (few, many) = (cost_of_a_change(&few), cost_of_a_change(&many));
+    let (few, many) = (store_to_maps_ratio(&few), store_to_maps_ratio(&many));
     assert!(many < few * 2.0, "{many} against {few} times a map's");
 }
 
 /// Maps a random byte to a change as a source makes it: a server is added, changed or removed, or
 /// the configuration is replaced.
-fn change(pick: u8) -> Change {
+fn change_from_byte(pick: u8) -> Change {
     let name = format!("i-{}", pick % 7);
     match pick % 5 {
         0 => Change::ServerGone(id(&name)),
         1 => Change::Configuration(configuration(u64::from(pick) + 1, vec![route("r", "/")])),
         _ => {
-            let mut one = server(&name, "a", pick % 7);
-            one.slots = u32::from(pick);
-            Change::Server(one)
+            let mut changed = server(&name, "a", pick % 7);
+            changed.slots = u32::from(pick);
+            Change::Server(changed)
         }
     }
 }
@@ -259,13 +263,13 @@
 quickcheck! {
     /// Nodes that read whole snapshots from the source bring nodes that ask them to the same
     /// snapshot.
-    fn differences_of_wholes_lead_to_the_same_snapshot(picks: Vec<u8>, reads: Vec<(u8, u8)>) -> bool {
+    fn differences_between_whole_snapshots_lead_to_the_same_snapshot(picks: Vec<u8>, reads: Vec<(u8, u8)>) -> bool {
         let mut source = SnapshotStore::default();
         let mut nodes = vec![SnapshotStore::default(); 4];
         let mut reads = reads.into_iter();
         for (place, pick) in picks.into_iter().enumerate() {
             let revision = place as u64 + 1;
-            source.apply(at(revision), at_revision(revision), change(pick));
+            source.apply(at(revision), at_revision(revision), change_from_byte(pick));
             source.advance(at_revision(revision));
             if let Some((reader, asking)) = reads.next() {
                 let (reader, asking) = (usize::from(reader) % 4, usize::from(asking) % 4);
@@ -288,7 +292,7 @@
         let mut asking = asking.into_iter();
         for (place, pick) in picks.into_iter().enumerate() {
             let revision = place as u64 + 1;
-            source.apply(at(revision), at_revision(revision), change(pick));
+            source.apply(at(revision), at_revision(revision), change_from_byte(pick));
             source.advance(at_revision(revision));
             if let Some((from, to)) = asking.next() {
                 let (from, to) = (usize::from(from) % 5, usize::from(to) % 4);
