--- a/crates/coordination/src/mesh/source_following.rs
+++ b/crates/coordination/src/mesh/source_following.rs
@@ -1,17 +1,17 @@
-//! What a node asks the source, and when.
+//! Decides which requests a node sends to the source, and when.
 //!
-//! The source has a bound and a price for each question, so that the questions of all
-//! nodes together must not grow with their number. Few nodes watch it
-//! ([`watchers`](crate::mesh::watchers)) and the others learn from these. That has to hold also
-//! where all nodes lack something at the same moment: they all start, or the source has
-//! forgotten its history and answers only who reads all of it.
+//! The source limits its requests and charges for each, so the total number of requests must not
+//! grow with the number of nodes. Few nodes watch the source
+//! ([`watchers`](crate::mesh::watchers)) and the others learn from these. This must also hold when
+//! all nodes lack something at the same moment: when they all start, or when the source has
+//! compacted its history and answers only full reads.
 //!
-//! A node is in one of four states ([`Following`]). It asks other nodes first. What it asks
-//! the source after that is put off by a time of its own choice that is seldom short
-//! ([`seldom_short`]): few of many nodes ask, and the rest is told by these meanwhile.
+//! A node is in one of four states ([`Following`]). It asks other nodes first. Its requests to the
+//! source after that are delayed by a random time that is rarely short ([`seldom_short`]): few of
+//! many nodes send one, and these tell the others in the meantime.
 //!
-//! A node that starts knows nobody. It looks for others in a read that may be old. Such a
-//! read tells whom to ask and nothing else: it makes no node ready and confirms no view.
+//! A starting node knows no other node. It looks for others with a read that may be stale. Such a
+//! read only tells which nodes to ask: it makes no node ready and confirms no view.
 
 use std::time::Duration;
 
@@ -21,73 +21,74 @@
 
 use crate::mesh::view_freshness::{self, ACCEPTED_AGE, Role};
 
-/// Time between two reads that look for other nodes, on average: where nobody is there yet,
-/// the first nodes that know of others tell the rest.
+/// Mean time between two reads that look for other nodes. If no other node exists yet, the first
+/// nodes that find others tell the rest.
 const SEARCH_PAUSE: Duration = Duration::from_millis(2000);
-/// The same after one that was not answered.
+/// Mean time until the next read that looks for other nodes, after one that was not answered.
 const FAILED_SEARCH_PAUSE: Duration = Duration::from_millis(1000);
-/// Time between two rounds of questions of a node that starts, on average.
+/// Mean time between two rounds in which a starting node asks other nodes.
 const START_ASK_PAUSE: Duration = Duration::from_millis(250);
-/// A node that has found no other one reads the source after this time at most: it may be
-/// the only one.
+/// Maximum delay until a node that has found no other node reads the source: it may be the only
+/// one.
 const ALONE_LIMIT: Duration = Duration::from_secs(4);
-/// The same if its reads that look for others are not answered.
+/// Maximum delay until a node reads the source whose reads that look for others are not answered.
 const UNANSWERED_LIMIT: Duration = Duration::from_secs(8);
-/// A node whom none of those that it has found can help reads the source after this time at
-/// most.
+/// Maximum delay until a starting node reads the source if none of the nodes that it has found can
+/// help.
 const START_LIMIT: Duration = Duration::from_millis(1500);
-/// A listener that has fallen behind reads the source after this time at most, unless others
-/// bring its view up to date.
+/// Maximum delay until a listener that has fallen behind reads the source, unless other nodes bring
+/// its view up to date.
 const CATCH_UP_LIMIT: Duration = Duration::from_millis(200);
-/// Time between two rounds of questions of a node that catches up.
+/// Time between two rounds in which a node that catches up asks other nodes.
 const CATCH_UP_ASK_PAUSE: Duration = Duration::from_millis(100);
-/// The shortest time between two reads of all of the source: one whose reads don't help, as it
-/// forgets its history at once, must not be read without end.
+/// Minimum time between two full reads of the source. It limits the reads if they don't help because
+/// the source compacts its history immediately.
 const READ_PAUSE: Duration = Duration::from_millis(250);
-/// A node that was told by a watcher asks none for this long.
+/// Minimum time until a node asks other nodes again after an answer of theirs.
 const ASK_PAUSE: Duration = Duration::from_millis(300);
-/// The first pause after an error of the source.
+/// The initial delay until the next request after an error of the source. It doubles with each
+/// further error.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause after errors of the source.
+/// The maximum delay until the next request after errors of the source.
 const MAX_PAUSE: Duration = Duration::from_millis(800);
-/// After an error of the source a node that learns from others asks it again after this time at
-/// most: those that watch do sooner, and one of them tells all others that it is back.
+/// Maximum delay until a node that learns from others sends the source another request after an
+/// error. Watchers do so sooner, and one of them tells all others when the source is back.
 const LISTENER_PAUSE: Duration = Duration::from_millis(3000);
-/// The shortest time for which it is worth to wait.
+/// Minimum duration of a wait; shorter ones are lengthened to it.
 const SHORTEST_WAIT: Duration = Duration::from_millis(1);
-/// The longest time until a node decides anew: what it knows may have changed.
+/// Maximum time until a node decides again: what it knows may have changed.
 const LONGEST_WAIT: Duration = Duration::from_millis(250);
 
 /// How a node follows the source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Following {
-    /// It has no snapshot yet.
+    /// The node has no snapshot yet.
     Starting,
-    /// It learns from other nodes.
+    /// The node learns from other nodes.
     Listening,
-    /// It is one of the few that watch the source.
+    /// The node is one of the few that watch the source.
     Watching,
-    /// The source has something newer, and does not tell it the changes since its snapshot.
+    /// The source has a newer revision, but no longer the changes since the node's snapshot.
     CatchingUp,
 }
 
-/// What a node knows when it decides.
+/// The state of a node on which its next step depends.
 #[derive(Clone, Copy, Debug)]
 pub struct Known {
-    /// Revision of its snapshot.
+    /// The revision of the node's snapshot.
     pub revision: Revision,
-    /// Whether it is one of the few that watch the source.
+    /// Whether the node is one of the few that watch the source.
     pub is_watcher: bool,
-    /// Whether it knows other nodes that it could ask.
+    /// Whether the node knows other nodes that it could ask.
     pub knows_nodes: bool,
-    /// Whether a caller or another node has asked it for something lately.
+    /// Whether the node recently had a request from a caller or another node.
     pub is_busy: bool,
-    /// The time since its view was confirmed; none if it never was.
+    /// The time since the node's view was confirmed; `None` if it never was.
     pub view_age: Option<Duration>,
 }
 
 impl Known {
-    /// The role in which its view grows old.
+    /// The role that determines at which age the node checks its view.
     pub fn role(self) -> Role {
         match (self.is_watcher, self.is_busy) {
             (false, _) => Role::Listener,
@@ -104,18 +105,19 @@
 /// What a node does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing for this long.
+    /// Do nothing for this long.
     Wait(Duration),
-    /// Ask other nodes for what it lacks, for no longer than this.
+    /// Ask other nodes for the missing changes, with this time limit.
     AskNodes(Duration),
-    /// Read the servers' addresses from the source, which may be old, to know whom to ask.
+    /// Read the servers' addresses from the source, with a read that may be stale, to find nodes to
+    /// ask.
     FindNodes,
-    /// Read all that the source has.
+    /// Read all items from the source.
     ReadAll,
-    /// Ask the source which revision is its newest. A watch would not do: one that has nothing to
-    /// tell may not be answered.
+    /// Ask the source for its newest revision. A watch would not serve for this: it may not be
+    /// answered while there are no changes.
     AskForNewest,
-    /// Wait for the source's next change.
+    /// Watch the source for its next change.
     Watch,
 }
 
@@ -125,47 +127,49 @@
     }
 }
 
-/// What a node is to do next, from what it knows and what came of its questions.
+/// Decides what a node does next, from its state and the results of its earlier requests.
 #[derive(Clone, Debug)]
 pub struct Follower {
-    /// Drawn anew for each time that the view grows old, from 0 to 1.
+    /// A random number from 0 to 1 that determines the age at which the view is checked. It is drawn
+    /// again for each confirmation of the view.
     drawn: f64,
-    /// When a node that starts looks for others again.
+    /// When a starting node looks for other nodes again.
     search_at: Timestamp,
-    /// When other nodes are asked again.
+    /// The earliest time at which other nodes are asked again.
     ask_at: Timestamp,
-    /// When all of the source is read, of a node that starts or catches up.
+    /// When a node that starts or catches up makes a full read of the source.
     read_at: Timestamp,
-    /// When all of the source was last read, or begun to be.
+    /// When the last full read of the source began.
     last_read: Option<Timestamp>,
-    /// Whether a read that looks for others was answered.
+    /// Whether any read that looks for other nodes was answered.
     was_answered: bool,
-    /// Whether a node that starts was chosen to watch by those that it has found.
+    /// Whether a starting node is a watcher according to the nodes that it has found.
     is_chosen: bool,
-    /// The revision since which the source does not tell the changes, while none newer is known.
+    /// The revision of a snapshot since which the source no longer has the changes. It is reset when
+    /// the node has a newer snapshot.
     behind_since: Option<Revision>,
-    /// Whether other nodes were asked in vain since the view was last fresh.
+    /// Whether other nodes were asked without success since the view was last fresh.
     asked_in_vain: bool,
-    /// The source is asked for nothing until then.
+    /// No requests are sent to the source before this time.
     paused_until: Timestamp,
-    /// The same while the node learns from others.
+    /// No requests are sent to the source before this time while the node learns from others.
     listener_paused_until: Timestamp,
     pause: Duration,
 }
 
-/// A time up to `limit` that is seldom short: half of the nodes draw more than 0.84 of it, one
-/// in 1,000 less than 0.18.
+/// Draws a random time up to `limit` that is rarely short: half of the nodes draw more than 0.84 of
+/// the limit, and one in 1,000 less than 0.18.
 pub fn seldom_short(limit: Duration, random: &mut impl Rng) -> Duration {
     limit.mul_f64(random.random::<f64>().powf(0.25))
 }
 
-/// Half to one and a half times `mean`.
+/// Draws a random time from 0.5 to 1.5 times `mean`.
 fn about(mean: Duration, random: &mut impl Rng) -> Duration {
     mean.mul_f64(random.random_range(0.5..1.5))
 }
 
 impl Follower {
-    /// A node that starts.
+    /// Creates the state of a node that starts at `now`.
     pub fn new(now: Timestamp, random: &mut impl Rng) -> Self {
         Follower {
             drawn: random.random(),
@@ -183,7 +187,7 @@
         }
     }
 
-    /// How the node follows the source.
+    /// Returns how the node follows the source.
     pub fn following(&self, known: Known) -> Following {
         match self.behind_since {
             _ if known.revision.is_none() => Following::Starting,
@@ -193,7 +197,7 @@
         }
     }
 
-    /// What to do now.
+    /// Returns what the node is to do now.
     pub fn step(&mut self, now: Timestamp, known: Known, random: &mut impl Rng) -> Step {
         let is_behind = |since: &Revision| known.revision <= *since || !known.is_fresh();
         self.behind_since = self.behind_since.filter(is_behind);
@@ -265,7 +269,7 @@
         Step::Wait(self.read_at.min(self.ask_at).saturating_since(now))
     }
 
-    /// Until when the source is asked for nothing.
+    /// Returns the time before which no requests are sent to the source.
     fn pause_end(&self, known: Known) -> Timestamp {
         let learns_from_others = !known.is_watcher && known.knows_nodes;
         match self.following(known) {
@@ -276,8 +280,8 @@
         }
     }
 
-    /// The source was out of reach a moment ago. Other nodes may reach it, so a node whose view
-    /// has grown old asks these meanwhile.
+    /// Returns what to do during the delay after an error of the source. Other nodes may reach the
+    /// source, so a node whose view is no longer fresh asks these meanwhile.
     fn pause(&mut self, now: Timestamp, known: Known) -> Step {
         let may_ask = known.knows_nodes && !known.is_fresh();
         if may_ask && now >= self.ask_at {
@@ -291,7 +295,8 @@
         Step::Wait(end.saturating_since(now).min(LONGEST_WAIT))
     }
 
-    /// Other nodes were asked. `known` is what the node knows after that.
+    /// Handles the end of a round in which other nodes were asked. `known` is the node's state after
+    /// that.
     pub fn nodes_asked(&mut self, now: Timestamp, known: Known, random: &mut impl Rng) {
         match self.following(known) {
             Following::Starting if self.is_chosen => self.read_at = now,
@@ -304,8 +309,8 @@
         }
     }
 
-    /// A read that may be old was answered. It named some nodes, or none; by those that it
-    /// named this one is chosen to watch, or not.
+    /// Handles the answer to a read that looks for other nodes. `are_any` tells whether it listed
+    /// any, and `is_chosen` whether this node is a watcher according to that list.
     pub fn nodes_found(
         &mut self,
         now: Timestamp,
@@ -326,7 +331,8 @@
         self.is_chosen = is_chosen;
     }
 
-    /// The source told of changes, or that it has nothing newer, or gave all it has.
+    /// Handles an answer of the source that brought the node up to date: changes, the confirmation
+    /// that there are none, or a full read.
     pub fn brought_up_to_date(&mut self, random: &mut impl Rng) {
         self.source_answered();
         self.behind_since = None;
@@ -334,7 +340,7 @@
         self.draw(random);
     }
 
-    /// The source has something newer than the snapshot, and does not tell the changes since that.
+    /// Handles the answer that the source no longer has the changes since the node's snapshot.
     pub fn fell_behind(&mut self, now: Timestamp, known: Known, random: &mut impl Rng) {
         self.source_answered();
         self.asked_in_vain = false;
@@ -348,7 +354,7 @@
         self.read_at = read_at.max(earliest);
     }
 
-    /// The source did not answer, or refused.
+    /// Handles a request that the source refused or did not answer.
     pub fn source_failed(&mut self, now: Timestamp, random: &mut impl Rng) {
         self.search_at = self.search_at.min(now + about(FAILED_SEARCH_PAUSE, random));
         self.paused_until = now + self.pause;
--- a/crates/coordination/src/mesh/view_freshness.rs
+++ b/crates/coordination/src/mesh/view_freshness.rs
@@ -1,45 +1,45 @@
-//! How long ago the source was last known to have nothing newer.
+//! Tracks the age of a node's view: the time since its snapshot was last known to be the source's
+//! newest.
 //!
-//! A node that reads the source knows that its snapshot was the newest when it
-//! asked. It tells others with each answer, so that a node which never asks the
-//! source itself knows how old its view may be. A view that nobody has confirmed
-//! for too long must be checked.
+//! A node that reads the source knows that its snapshot was the newest when it sent the request. It
+//! reports the age of its view in each answer to other nodes, so that a node which never reads the
+//! source itself knows how old its view may be. A view that nobody has confirmed for too long must
+//! be checked.
 //!
-//! Nodes share no clock, so an answer names an age. The time that the answer was on
-//! its way is missing from that, and may be seconds: a process is frozen, a link
-//! heals, packets are sent again. Only the node that asked has a bound for it, by its
-//! own clock: the time since its question. So an age is taken from answers only, with
-//! all that time but for what the other node held the question
-//! ([`NamedAge::at_most`]). Such an age may be too great and is never too small,
-//! however often it is passed on.
+//! Nodes share no clock, so an answer states an age instead of a time. The age does not include the
+//! transit time of the answer, which may be seconds: a process is suspended, a link recovers,
+//! packets are retransmitted. Only the node that sent the request has an upper bound for it, on its
+//! own clock: the time since the request. So ages are taken from answers only, and all of that time
+//! is added except for the time during which the other node held the request
+//! ([`NamedAge::at_most`]). Such an age may be too large but never too small, however often it is
+//! passed on.
 //!
-//! Without that bound, messages that were held up made a view of 4.1 s count as
-//! confirmed 39 ms ago, and its node asked nobody (simulated nodes, test
+//! Without that bound, delayed messages made a view of 4.1 s count as confirmed 39 ms ago, and its
+//! node asked nobody (simulated nodes, test
 //! `a_node_learns_in_time_although_messages_of_before_arrive_late`).
 
 use std::time::Duration;
 
 use lifthollow_state::Timestamp;
 
-/// The source counts as lost if nobody has reached it for this long.
+/// The source counts as unavailable if the view has not been confirmed for this long.
 const LOST_AFTER: Duration = Duration::from_secs(3);
 
-/// Who is to check a view that has grown old.
+/// The role of a node, which determines at which age it checks its view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// One of the few nodes that watch the source, while requests or questions of
-    /// other nodes reach it.
+    /// A node that watches the source and has recently had requests from callers or other nodes.
     BusyWatcher,
-    /// One of the few, while nobody depends on it.
+    /// A node that watches the source and has had no such requests recently.
     IdleWatcher,
-    /// A node that learns from others, and asks only if they don't tell.
+    /// A node that learns from other nodes, and asks only if they report nothing.
     Listener,
 }
 
-/// The age at which a view is checked, in milliseconds, as a least value and the
-/// width of what is drawn on top. Watchers come first, so that as a rule one of
-/// them spares all others the question. The largest of a listener must stay below
-/// the time in which a leaving server has to be known everywhere.
+/// Returns the minimum age at which a view is checked and the width of the random part added to it,
+/// both in milliseconds. Watchers check earlier, so that as a rule one of them saves all others the
+/// request. The maximum of a listener must stay below the time within which a draining server has
+/// to be known everywhere.
 fn age_limits(role: Role) -> (u64, u64) {
     match role {
         Role::BusyWatcher => (600, 300),
@@ -48,8 +48,8 @@
     }
 }
 
-/// The age at which a node checks its view; `drawn` is from 0 to 1. Few of many
-/// listeners get a low age, so that the first ones can tell the others.
+/// Returns the age at which a node checks its view; `drawn` is a random number from 0 to 1. Few of
+/// many listeners get a low age, so that the first ones can tell the others.
 pub fn age_limit(role: Role, drawn: f64) -> Duration {
     let (least, width) = age_limits(role);
     let part = match role {
@@ -59,32 +59,32 @@
     Duration::from_millis(least) + Duration::from_millis(width).mul_f64(part)
 }
 
-/// The greatest age at which what another node knows spares a question to the
-/// source.
+/// Maximum age of another node's view at which a node accepts it instead of a request to the source.
 pub const ACCEPTED_AGE: Duration = Duration::from_millis(1000);
 
-/// The greatest age at which what another watcher knows spares a watcher a question to the
-/// source. Below the least age at which it asks, so that it does not ask others all the time.
+/// Maximum age of another watcher's view at which a watcher accepts it instead of a request to the
+/// source. It is below the minimum age at which a watcher asks, so that a watcher does not ask
+/// others all the time.
 pub const SPARED_AGE: Duration = Duration::from_millis(400);
 
-/// What an answer of another node says of its view's age.
+/// The age of another node's view, as reported in its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NamedAge {
-    /// The time since the source had nothing newer, when the answer was written.
+    /// The age of the other node's view when the answer was written.
     pub age: Duration,
-    /// How long the other node held the question before that.
+    /// How long the other node held the request before it answered.
     pub held: Duration,
 }
 
 impl NamedAge {
-    /// The greatest age that the view can have when the answer arrives, `took` after
-    /// the question was sent.
+    /// Returns the maximum age that the view can have when the answer arrives, `took` after the
+    /// request was sent.
     pub fn at_most(self, took: Duration) -> Duration {
         self.age + took.saturating_sub(self.held)
     }
 }
 
-/// When the view was last confirmed.
+/// The time at which a node's view was last confirmed, and how long the source has been available.
 #[derive(Clone, Debug, Default)]
 pub struct ViewFreshness {
     confirmed_at: Option<Timestamp>,
@@ -92,7 +92,7 @@
 }
 
 impl ViewFreshness {
-    /// The source had nothing newer at `at`, or later.
+    /// Records that the view was the newest at `at` or later.
     pub fn confirm(&mut self, now: Timestamp, at: Timestamp) {
         let at = at.min(now);
         if self.confirmed_at.is_some_and(|known| known >= at) {
@@ -104,18 +104,19 @@
         self.confirmed_at = Some(at);
     }
 
-    /// The time since the view was confirmed; none if it never was.
+    /// Returns the time since the view was confirmed; `None` if it never was.
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
         Some(now.saturating_since(self.confirmed_at?))
     }
 
-    /// Whether nobody that this node hears of has reached the source for long.
+    /// Whether the source counts as unavailable: neither this node nor any that it learns from has
+    /// reached the source for [`LOST_AFTER`].
     pub fn is_source_lost(&self, now: Timestamp) -> bool {
         self.age(now).is_none_or(|age| age >= LOST_AFTER)
     }
 
-    /// Since when the source has been reached without a longer gap; none while it
-    /// is lost.
+    /// Returns the time since which the source has been available without interruption; `None` while
+    /// it is unavailable.
     pub fn source_available_since(&self, now: Timestamp) -> Option<Timestamp> {
         (!self.is_source_lost(now)).then_some(self.available_since)
     }
--- a/crates/coordination/src/mesh/watchers.rs
+++ b/crates/coordination/src/mesh/watchers.rs
@@ -1,9 +1,8 @@
-//! Which nodes watch the source for all.
+//! Chooses the nodes that watch the source on behalf of all.
 //!
-//! Every node ranks the servers' addresses by a hash and so finds the same few,
-//! spread over the zones, without a message. Nodes with different views may choose
-//! differently; then some more watch for a while, or fewer, and listeners that
-//! hear nothing fresh ask the source themselves.
+//! Every node ranks the servers' addresses by a hash and so chooses the same few, spread over the
+//! zones, without exchanging messages. Nodes with different views may choose differently. Then more
+//! or fewer nodes watch for a while, and listeners that get no fresh view ask the source themselves.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -12,18 +11,18 @@
 use rand::Rng;
 use rand::seq::IteratorRandom;
 
-/// At least so many nodes watch, as far as there are any.
+/// Minimum number of nodes that watch, if the fleet has that many.
 const LEAST_WATCHERS: usize = 3;
-/// How many nodes that watch for other zones a node asks, after that of its own zone.
+/// Number of watchers of other zones that a starting node asks, after those of its own zone.
 const ASKED_ELSEWHERE: usize = 2;
-/// How many nodes of its own zone a node that starts asks besides: another that has started
-/// may know what those that watch don't.
+/// Number of further nodes of its own zone that a starting node asks: another node that has started
+/// may know what the watchers don't.
 const ASKED_AT_RANDOM: usize = 2;
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// The addresses of the servers whose nodes watch: in each zone as many as it
-/// takes to have [`LEAST_WATCHERS`], and at least one.
+/// Returns the addresses of the servers whose nodes watch: the same number in each zone, at least
+/// one, and enough to have [`LEAST_WATCHERS`] in total.
 pub fn watchers(servers: &[ServerInstance]) -> Vec<SocketAddrV4> {
     let mut zones: BTreeMap<&str, Vec<SocketAddrV4>> = BTreeMap::new();
     for server in servers {
@@ -39,18 +38,18 @@
     chosen
 }
 
-/// Where a node stands.
+/// The location of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct Place<'a> {
-    /// Its zone.
+    /// The zone of the node.
     pub zone: &'a str,
-    /// The address of the server beside it.
+    /// The address of the server beside the node.
     pub address: SocketAddrV4,
 }
 
-/// Whom a node that starts asks for a snapshot, by the addresses of the servers beside them, if
-/// it knows of `servers`: first the nodes that watch in its own zone, so that neither few nodes nor
-/// links between zones bear the starts of a whole fleet.
+/// Returns which nodes a starting node that knows `servers` asks for a snapshot, as the addresses of
+/// the servers beside them. The watchers of its own zone come first, so that neither few nodes nor
+/// the links between zones bear the load when a whole fleet starts.
 pub fn nodes_to_ask(
     servers: &[ServerInstance],
     own: Place<'_>,
@@ -75,7 +74,8 @@
     asked
 }
 
-/// FNV-1a of an address: the same at every node, and unlike its order.
+/// Hashes an address by FNV-1a: the rank is the same at every node, and independent of the order of
+/// addresses.
 fn rank(address: SocketAddrV4) -> u64 {
     let octets = address.ip().octets();
     let port = address.port().to_be_bytes();
@@ -83,6 +83,6 @@
     let hash = bytes.fold(FNV_OFFSET, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
     });
-    // The last bytes have moved the low bits only.
+    // The last bytes have changed only the low bits of the hash, so mix in the high ones.
     hash ^ (hash >> 32)
 }
--- a/crates/coordination/tests/mesh_source_following.rs
+++ b/crates/coordination/tests/mesh_source_following.rs
@@ -1,4 +1,4 @@
-//! What a node asks the source, and when.
+//! Tests for the requests that a node sends to the source, and when it does.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use rand::rngs::SmallRng;
 
 const MILLISECOND: Duration = Duration::from_millis(1);
-/// How long the source takes to answer.
+/// Time that the source takes to answer a request.
 const ANSWER_TIME: Duration = Duration::from_millis(4);
 
 fn at(milliseconds: u64) -> Timestamp {
@@ -39,7 +39,7 @@
     view_age: Some(Duration::ZERO),
 };
 
-/// What the node does next that is not waiting, and when.
+/// Returns the node's next step other than waiting, and its time.
 fn next(follower: &mut Follower, mut now: Timestamp, known: Known, seed: u64) -> (Timestamp, Step) {
     let mut random = random(seed);
     loop {
@@ -133,7 +133,11 @@
     let Step::AskNodes(limit) = step else {
         panic!("{step:?}");
     };
-    assert_eq!(when + limit, at(120), "as long as the source is not asked");
+    assert_eq!(
+        when + limit,
+        at(120),
+        "nodes are asked until the next request to the source is allowed"
+    );
 }
 
 #[test]
@@ -201,7 +205,10 @@
             let Step::AskNodes(limit) = step else {
                 panic!("{step:?}");
             };
-            assert!(now + limit <= at(200), "it must be able to read in time");
+            assert!(
+                now + limit <= at(200),
+                "the limit must end before the source is to be read"
+            );
             follower.nodes_asked(now, old, &mut random(seed));
         }
         assert!(now <= at(200), "{now:?}");
@@ -223,8 +230,8 @@
     );
 }
 
-/// What operators saw: nodes that watch a store which answered all they asked read the whole 60 to
-/// 75 times a second each. Each time the store told them afterwards that their history was gone.
+/// Guards against full reads without a limit: watchers of a store that compacts its history at once
+/// read all of it 60 to 75 times a second each, because the next watch after each read failed again.
 #[test]
 fn a_source_that_has_always_forgotten_its_history_is_read_a_few_times_a_second() {
     let watching = Known {
@@ -246,7 +253,7 @@
             other => panic!("{other:?}"),
         }
     }
-    // The first, and four in each second.
+    // The first read, and four in each second.
     assert!((10..=1 + 4 * 10).contains(&reads), "{reads} in 10 s");
 }
 
@@ -304,7 +311,7 @@
         service: "feeds".to_owned(),
         address: format!("10.{zone}.0.{index}:80")
             .parse()
-            .expect("it is one"),
+            .expect("the text is a socket address"),
         zone: format!("zone-{zone}"),
         slots: 8,
         state: ServerState::Ready,
--- a/crates/coordination/tests/mesh_view.rs
+++ b/crates/coordination/tests/mesh_view.rs
@@ -1,4 +1,4 @@
-//! Who asks the source, when, and how others learn from them.
+//! Tests for the choice of the nodes that watch the source, and for the freshness of views.
 
 mod mesh_support;
 
@@ -14,9 +14,9 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-/// Every leaving server must be known within this time.
+/// Time in milliseconds within which every node must know that a server is draining.
 const DRAIN: u64 = 2000;
-/// What a listener may spend on watchers that don't answer.
+/// Time in milliseconds that a listener may spend on watchers that don't answer.
 const ASKING: u64 = 400;
 
 fn fleet(zones: usize, in_each: usize) -> Vec<ServerInstance> {
@@ -43,7 +43,7 @@
             .iter()
             .map(|address| address.ip().octets()[1])
             .collect();
-        assert_eq!(zones.len(), 5, "one in each zone");
+        assert_eq!(zones.len(), 5, "each zone has one watcher");
     }
 }
 
@@ -69,7 +69,11 @@
         .cloned()
         .collect();
     let others = watchers(&without_one);
-    assert_eq!(others[1..], chosen[1..], "only its zone chooses another");
+    assert_eq!(
+        others[1..],
+        chosen[1..],
+        "only the zone of the removed server chooses another watcher"
+    );
     assert_ne!(others[0], chosen[0]);
 }
 
@@ -106,7 +110,11 @@
     view.confirm(at(1000), at(400));
     assert_eq!(view.age(at(1500)), Some(ms(600)));
     view.confirm(at(1500), at(9000));
-    assert_eq!(view.age(at(1500)), Some(ms(0)), "never from the future");
+    assert_eq!(
+        view.age(at(1500)),
+        Some(ms(0)),
+        "a confirmation from the future counts as made now"
+    );
 }
 
 #[test]
@@ -141,23 +149,28 @@
     };
     assert_eq!(named(300).at_most(ms(304)), ms(104));
     assert_eq!(named(0).at_most(ms(3000)), ms(3100));
-    assert_eq!(named(400).at_most(ms(304)), ms(100), "clocks that disagree");
+    assert_eq!(
+        named(400).at_most(ms(304)),
+        ms(100),
+        "a hold time longer than the whole exchange counts as all of it"
+    );
 }
 
-/// A node that waits for another's answer.
+/// A request from one node to another for the age of its view. All times are in milliseconds.
 #[derive(Clone, Copy)]
 struct Question {
     from: usize,
     to: usize,
     asked: u64,
-    /// When the question arrives, is answered, and the answer arrives.
+    /// When the request arrives at the other node. It is answered at `answered`, and the answer
+    /// arrives at `ends`.
     arrives: u64,
     answered: u64,
     ends: u64,
     named: Option<NamedAge>,
 }
 
-/// Nodes that tell each other how fresh their views are.
+/// Nodes that report the ages of their views to each other.
 struct Talking {
     views: Vec<ViewFreshness>,
     questions: Vec<Question>,
@@ -173,8 +186,8 @@
         }
     }
 
-    /// In the millisecond that ends at `now`, every node asks another one. Each way
-    /// takes a millisecond, and one of `late` as many milliseconds more as `delay`.
+    /// Lets every node ask a random node in the millisecond that ends at `now`. Each message takes a
+    /// millisecond, and one in `late` messages takes `delay` milliseconds more.
     fn step(&mut self, now: u64, late: u32, delay: u64) {
         for from in 0..self.views.len() {
             let to = self.random.random_range(0..self.views.len());
@@ -217,8 +230,8 @@
     }
 }
 
-/// No node takes a view for younger than it is, in a fleet that talks much and whose
-/// messages wait, some for longer than a leaving server may be used.
+/// Guards against views that count as younger than they are, in a fleet with many messages of which
+/// some are delayed for longer than a draining server may be used.
 #[test]
 fn views_grow_old_in_a_fleet_that_talks_much_when_nobody_reaches_the_source() {
     for (nodes, late, delay) in [
