--- a/crates/coordination/src/mesh/snapshot_store/departures.rs
+++ b/crates/coordination/src/mesh/snapshot_store/departures.rs
@@ -55,7 +55,7 @@
 pub(super) struct Departures {
     vanished: BTreeMap<InstanceId, Vanished>,
     removed: BTreeMap<InstanceId, LastEntry>,
-    /// The keys of the map of removed servers, oldest removal first.
+    /// The keys of `removed`, oldest removal first.
     removal_order: VecDeque<InstanceId>,
     /// Servers that were removed without an announcement and that a restored backup lists again,
     /// with the time at which it did.
--- a/crates/coordination/src/mesh/source_following.rs
+++ b/crates/coordination/src/mesh/source_following.rs
@@ -7,8 +7,8 @@
 //! compacted its history and answers only full reads.
 //!
 //! A node is in one of four states ([`Following`]). It asks other nodes first. Its requests to the
-//! source after that are delayed by a random time that is rarely short ([`seldom_short`]): few of
-//! many nodes send one, and these tell the others in the meantime.
+//! source after that are delayed by a random time that is rarely short ([`rarely_short_delay`]):
+//! few of many nodes send one, and these tell the others in the meantime.
 //!
 //! A starting node knows no other node. It looks for others with a read that may be stale. Such a
 //! read only tells which nodes to ask: it makes no node ready and confirms no view.
@@ -23,41 +23,42 @@
 
 /// Mean time between two reads that look for other nodes. If no other node exists yet, the first
 /// nodes that find others tell the rest.
-const SEARCH_PAUSE: Duration = Duration::from_millis(2000);
+const SEARCH_INTERVAL: Duration = Duration::from_millis(2000);
 /// Mean time until the next read that looks for other nodes, after one that was not answered.
-const FAILED_SEARCH_PAUSE: Duration = Duration::from_millis(1000);
+const FAILED_SEARCH_INTERVAL: Duration = Duration::from_millis(1000);
 /// Mean time between two rounds in which a starting node asks other nodes.
-const START_ASK_PAUSE: Duration = Duration::from_millis(250);
+const START_ASK_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum delay until a node that has found no other node reads the source: it may be the only
 /// one.
-const ALONE_LIMIT: Duration = Duration::from_secs(4);
+const MAX_READ_DELAY_ALONE: Duration = Duration::from_secs(4);
 /// Maximum delay until a node reads the source whose reads that look for others are not answered.
-const UNANSWERED_LIMIT: Duration = Duration::from_secs(8);
+const MAX_READ_DELAY_UNANSWERED: Duration = Duration::from_secs(8);
 /// Maximum delay until a starting node reads the source if none of the nodes that it has found can
 /// help.
-const START_LIMIT: Duration = Duration::from_millis(1500);
+const MAX_READ_DELAY_AT_START: Duration = Duration::from_millis(1500);
 /// Maximum delay until a listener that has fallen behind reads the source, unless other nodes bring
 /// its view up to date.
-const CATCH_UP_LIMIT: Duration = Duration::from_millis(200);
+const MAX_READ_DELAY_BEHIND: Duration = Duration::from_millis(200);
 /// Time between two rounds in which a node that catches up asks other nodes.
-const CATCH_UP_ASK_PAUSE: Duration = Duration::from_millis(100);
-/// Minimum time between two full reads of the source. It limits the reads if they don't help because
-/// the source compacts its history immediately.
-const READ_PAUSE: Duration = Duration::from_millis(250);
-/// Minimum time until a node asks other nodes again after an answer of theirs.
-const ASK_PAUSE: Duration = Duration::from_millis(300);
+const CATCH_UP_ASK_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum time between two full reads of the source. It limits the reads if they don't help
+/// because the source compacts its history immediately.
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(250);
+/// Minimum time until a node asks other nodes again after they refreshed its view, or after it
+/// asked them because the source could not be reached.
+const MIN_ASK_INTERVAL: Duration = Duration::from_millis(300);
 /// The initial delay until the next request after an error of the source. It doubles with each
 /// further error.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 /// The maximum delay until the next request after errors of the source.
-const MAX_PAUSE: Duration = Duration::from_millis(800);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 /// Maximum delay until a node that learns from others sends the source another request after an
 /// error. Watchers do so sooner, and one of them tells all others when the source is back.
-const LISTENER_PAUSE: Duration = Duration::from_millis(3000);
+const MAX_LISTENER_BACKOFF: Duration = Duration::from_millis(3000);
 /// Minimum duration of a wait; shorter ones are lengthened to it.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1);
+const MIN_WAIT: Duration = Duration::from_millis(1);
 /// Maximum time until a node decides again: what it knows may have changed.
-const LONGEST_WAIT: Duration = Duration::from_millis(250);
+const MAX_WAIT: Duration = Duration::from_millis(250);
 
 /// How a node follows the source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -130,9 +131,9 @@
 /// Decides what a node does next, from its state and the results of its earlier requests.
 #[derive(Clone, Debug)]
 pub struct Follower {
-    /// A random number from 0 to 1 that determines the age at which the view is checked. It is drawn
-    /// again for each confirmation of the view.
-    drawn: f64,
+    /// A random number from 0 to 1 that determines the age at which the view is checked. It is
+    /// drawn again for each confirmation of the view.
+    age_fraction: f64,
     /// When a starting node looks for other nodes again.
     search_at: Timestamp,
     /// The earliest time at which other nodes are asked again.
@@ -145,26 +146,27 @@
     was_answered: bool,
     /// Whether a starting node is a watcher according to the nodes that it has found.
     is_chosen: bool,
-    /// The revision of a snapshot since which the source no longer has the changes. It is reset when
-    /// the node has a newer snapshot.
+    /// The revision of a snapshot since which the source no longer has the changes. It is reset
+    /// when the node has a newer snapshot and a fresh view, or when the source brought it up to
+    /// date.
     behind_since: Option<Revision>,
     /// Whether other nodes were asked without success since the view was last fresh.
-    asked_in_vain: bool,
+    asked_without_success: bool,
     /// No requests are sent to the source before this time.
-    paused_until: Timestamp,
+    backoff_until: Timestamp,
     /// No requests are sent to the source before this time while the node learns from others.
-    listener_paused_until: Timestamp,
-    pause: Duration,
+    listener_backoff_until: Timestamp,
+    backoff: Duration,
 }
 
 /// Draws a random time up to `limit` that is rarely short: half of the nodes draw more than 0.84 of
 /// the limit, and one in 1,000 less than 0.18.
-pub fn seldom_short(limit: Duration, random: &mut impl Rng) -> Duration {
+pub fn rarely_short_delay(limit: Duration, random: &mut impl Rng) -> Duration {
     limit.mul_f64(random.random::<f64>().powf(0.25))
 }
 
 /// Draws a random time from 0.5 to 1.5 times `mean`.
-fn about(mean: Duration, random: &mut impl Rng) -> Duration {
+fn jittered(mean: Duration, random: &mut impl Rng) -> Duration {
     mean.mul_f64(random.random_range(0.5..1.5))
 }
 
@@ -172,18 +174,18 @@
     /// Creates the state of a node that starts at `now`.
     pub fn new(now: Timestamp, random: &mut impl Rng) -> Self {
         Follower {
-            drawn: random.random(),
+            age_fraction: random.random(),
             search_at: now,
             ask_at: now,
-            read_at: now + seldom_short(UNANSWERED_LIMIT, random),
+            read_at: now + rarely_short_delay(MAX_READ_DELAY_UNANSWERED, random),
             last_read: None,
             was_answered: false,
             is_chosen: false,
             behind_since: None,
-            asked_in_vain: false,
-            paused_until: now,
-            listener_paused_until: now,
-            pause: FIRST_PAUSE,
+            asked_without_success: false,
+            backoff_until: now,
+            listener_backoff_until: now,
+            backoff: INITIAL_BACKOFF,
         }
     }
 
@@ -199,17 +201,17 @@
 
     /// Returns what the node is to do now.
     pub fn step(&mut self, now: Timestamp, known: Known, random: &mut impl Rng) -> Step {
-        let is_behind = |since: &Revision| known.revision <= *since || !known.is_fresh();
-        self.behind_since = self.behind_since.filter(is_behind);
+        let is_still_behind = |since: &Revision| known.revision <= *since || !known.is_fresh();
+        self.behind_since = self.behind_since.filter(is_still_behind);
         let step = match self.following(known) {
-            Following::Starting => self.start(now, known, random),
-            Following::Listening => self.listen(now, known),
+            Following::Starting => self.step_while_starting(now, known, random),
+            Following::Listening => self.step_while_listening(now, known),
             Following::Watching => Step::Watch,
-            Following::CatchingUp => self.catch_up(now, known),
+            Following::CatchingUp => self.step_while_catching_up(now, known),
         };
         let step = match step {
-            Step::Wait(time) => Step::Wait(time.clamp(SHORTEST_WAIT, LONGEST_WAIT)),
-            step if step.asks_source() && now < self.pause_end(known) => self.pause(now, known),
+            Step::Wait(time) => Step::Wait(time.clamp(MIN_WAIT, MAX_WAIT)),
+            step if step.asks_source() && now < self.backoff_end(known) => self.defer(now, known),
             step => step,
         };
         if step == Step::ReadAll {
@@ -218,22 +220,22 @@
         step
     }
 
-    fn start(&mut self, now: Timestamp, known: Known, random: &mut impl Rng) -> Step {
-        let is_paused = now < self.paused_until;
-        if now >= self.read_at && !is_paused {
-            self.read_at = now + seldom_short(ALONE_LIMIT, random);
+    fn step_while_starting(&mut self, now: Timestamp, known: Known, random: &mut impl Rng) -> Step {
+        let is_backing_off = now < self.backoff_until;
+        if now >= self.read_at && !is_backing_off {
+            self.read_at = now + rarely_short_delay(MAX_READ_DELAY_ALONE, random);
             return Step::ReadAll;
         }
         if known.knows_nodes && now >= self.ask_at {
-            self.ask_at = now + about(START_ASK_PAUSE, random);
-            let until = self.read_at.max(self.paused_until);
+            self.ask_at = now + jittered(START_ASK_INTERVAL, random);
+            let until = self.read_at.max(self.backoff_until);
             return Step::AskNodes(until.saturating_since(now));
         }
-        if now >= self.search_at && !is_paused {
-            self.search_at = now + about(SEARCH_PAUSE, random);
+        if now >= self.search_at && !is_backing_off {
+            self.search_at = now + jittered(SEARCH_INTERVAL, random);
             return Step::FindNodes;
         }
-        let next = self.read_at.min(self.search_at).max(self.paused_until);
+        let next = self.read_at.min(self.search_at).max(self.backoff_until);
         let next = if known.knows_nodes {
             next.min(self.ask_at)
         } else {
@@ -242,69 +244,69 @@
         Step::Wait(next.saturating_since(now))
     }
 
-    fn listen(&mut self, now: Timestamp, known: Known) -> Step {
-        let limit = view_freshness::age_limit(known.role(), self.drawn);
+    fn step_while_listening(&mut self, now: Timestamp, known: Known) -> Step {
+        let limit = view_freshness::age_limit(known.role(), self.age_fraction);
         let age = known.view_age.unwrap_or(Duration::MAX);
         if age < limit {
-            self.asked_in_vain = false;
+            self.asked_without_success = false;
             return Step::Wait(limit - age);
         }
         if now < self.ask_at {
             return Step::Wait(self.ask_at.saturating_since(now));
         }
-        if self.asked_in_vain || !known.knows_nodes {
+        if self.asked_without_success || !known.knows_nodes {
             return Step::AskForNewest;
         }
         Step::AskNodes(Duration::MAX)
     }
 
-    fn catch_up(&mut self, now: Timestamp, known: Known) -> Step {
+    fn step_while_catching_up(&mut self, now: Timestamp, known: Known) -> Step {
         if now >= self.read_at {
             return Step::ReadAll;
         }
         if known.knows_nodes && now >= self.ask_at {
-            self.ask_at = now + CATCH_UP_ASK_PAUSE;
+            self.ask_at = now + CATCH_UP_ASK_INTERVAL;
             return Step::AskNodes(self.read_at.saturating_since(now));
         }
         Step::Wait(self.read_at.min(self.ask_at).saturating_since(now))
     }
 
     /// Returns the time before which no requests are sent to the source.
-    fn pause_end(&self, known: Known) -> Timestamp {
+    fn backoff_end(&self, known: Known) -> Timestamp {
         let learns_from_others = !known.is_watcher && known.knows_nodes;
         match self.following(known) {
             Following::Listening | Following::CatchingUp if learns_from_others => {
-                self.listener_paused_until
+                self.listener_backoff_until
             }
-            _ => self.paused_until,
+            _ => self.backoff_until,
         }
     }
 
     /// Returns what to do during the delay after an error of the source. Other nodes may reach the
     /// source, so a node whose view is no longer fresh asks these meanwhile.
-    fn pause(&mut self, now: Timestamp, known: Known) -> Step {
+    fn defer(&mut self, now: Timestamp, known: Known) -> Step {
         let may_ask = known.knows_nodes && !known.is_fresh();
         if may_ask && now >= self.ask_at {
-            self.ask_at = now + ASK_PAUSE;
+            self.ask_at = now + MIN_ASK_INTERVAL;
             return Step::AskNodes(Duration::MAX);
         }
         let end = match may_ask {
-            true => self.pause_end(known).min(self.ask_at),
-            false => self.pause_end(known),
+            true => self.backoff_end(known).min(self.ask_at),
+            false => self.backoff_end(known),
         };
-        Step::Wait(end.saturating_since(now).min(LONGEST_WAIT))
+        Step::Wait(end.saturating_since(now).min(MAX_WAIT))
     }
 
-    /// Handles the end of a round in which other nodes were asked. `known` is the node's state after
-    /// that.
+    /// Handles the end of a round in which other nodes were asked. `known` is the node's state
+    /// after that.
     pub fn nodes_asked(&mut self, now: Timestamp, known: Known, random: &mut impl Rng) {
         match self.following(known) {
             Following::Starting if self.is_chosen => self.read_at = now,
             Following::Listening if known.is_fresh() => {
-                self.ask_at = now + ASK_PAUSE;
-                self.draw(random);
+                self.ask_at = now + MIN_ASK_INTERVAL;
+                self.draw_age_fraction(random);
             }
-            Following::Listening => self.asked_in_vain = true,
+            Following::Listening => self.asked_without_success = true,
             Following::Starting | Following::Watching | Following::CatchingUp => {}
         }
     }
@@ -318,10 +320,14 @@
         is_chosen: bool,
         random: &mut impl Rng,
     ) {
-        self.source_answered();
-        let limit = if are_any { START_LIMIT } else { ALONE_LIMIT };
+        self.reset_backoff();
+        let limit = if are_any {
+            MAX_READ_DELAY_AT_START
+        } else {
+            MAX_READ_DELAY_ALONE
+        };
         if are_any || !self.was_answered {
-            let read_at = now + seldom_short(limit, random);
+            let read_at = now + rarely_short_delay(limit, random);
             self.read_at = match self.was_answered {
                 true => self.read_at.min(read_at),
                 false => read_at,
@@ -334,39 +340,41 @@
     /// Handles an answer of the source that brought the node up to date: changes, the confirmation
     /// that there are none, or a full read.
     pub fn brought_up_to_date(&mut self, random: &mut impl Rng) {
-        self.source_answered();
+        self.reset_backoff();
         self.behind_since = None;
-        self.asked_in_vain = false;
-        self.draw(random);
+        self.asked_without_success = false;
+        self.draw_age_fraction(random);
     }
 
     /// Handles the answer that the source no longer has the changes since the node's snapshot.
     pub fn fell_behind(&mut self, now: Timestamp, known: Known, random: &mut impl Rng) {
-        self.source_answered();
-        self.asked_in_vain = false;
+        self.reset_backoff();
+        self.asked_without_success = false;
         self.behind_since = Some(known.revision);
         self.ask_at = now;
         let read_at = match known.is_watcher {
             true => now,
-            false => now + seldom_short(CATCH_UP_LIMIT, random),
+            false => now + rarely_short_delay(MAX_READ_DELAY_BEHIND, random),
         };
-        let earliest = self.last_read.map_or(now, |last| last + READ_PAUSE);
+        let earliest = self.last_read.map_or(now, |last| last + MIN_READ_INTERVAL);
         self.read_at = read_at.max(earliest);
     }
 
     /// Handles a request that the source refused or did not answer.
     pub fn source_failed(&mut self, now: Timestamp, random: &mut impl Rng) {
-        self.search_at = self.search_at.min(now + about(FAILED_SEARCH_PAUSE, random));
-        self.paused_until = now + self.pause;
-        self.listener_paused_until = now + seldom_short(LISTENER_PAUSE, random);
-        self.pause = (self.pause * 2).min(MAX_PAUSE);
+        self.search_at = self
+            .search_at
+            .min(now + jittered(FAILED_SEARCH_INTERVAL, random));
+        self.backoff_until = now + self.backoff;
+        self.listener_backoff_until = now + rarely_short_delay(MAX_LISTENER_BACKOFF, random);
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
     }
 
-    fn source_answered(&mut self) {
-        self.pause = FIRST_PAUSE;
+    fn reset_backoff(&mut self) {
+        self.backoff = INITIAL_BACKOFF;
     }
 
-    fn draw(&mut self, random: &mut impl Rng) {
-        self.drawn = random.random();
+    fn draw_age_fraction(&mut self, random: &mut impl Rng) {
+        self.age_fraction = random.random();
     }
 }
--- a/crates/coordination/src/mesh/view_freshness.rs
+++ b/crates/coordination/src/mesh/view_freshness.rs
@@ -23,7 +23,7 @@
 use lifthollow_state::Timestamp;
 
 /// The source counts as unavailable if the view has not been confirmed for this long.
-const LOST_AFTER: Duration = Duration::from_secs(3);
+const UNAVAILABLE_AFTER: Duration = Duration::from_secs(3);
 
 /// The role of a node, which determines at which age it checks its view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,15 +51,16 @@
 /// Returns the age at which a node checks its view; `drawn` is a random number from 0 to 1. Few of
 /// many listeners get a low age, so that the first ones can tell the others.
 pub fn age_limit(role: Role, drawn: f64) -> Duration {
-    let (least, width) = age_limits(role);
-    let part = match role {
+    let (minimum, width) = age_limits(role);
+    let fraction = match role {
         Role::BusyWatcher | Role::IdleWatcher => drawn,
         Role::Listener => drawn.powf(0.25),
     };
-    Duration::from_millis(least) + Duration::from_millis(width).mul_f64(part)
+    Duration::from_millis(minimum) + Duration::from_millis(width).mul_f64(fraction)
 }
 
-/// Maximum age of another node's view at which a node accepts it instead of a request to the source.
+/// Maximum age of another node's view at which a node accepts it instead of a request to the
+/// source.
 pub const ACCEPTED_AGE: Duration = Duration::from_millis(1000);
 
 /// Maximum age of another watcher's view at which a watcher accepts it instead of a request to the
@@ -98,7 +99,7 @@
         if self.confirmed_at.is_some_and(|known| known >= at) {
             return;
         }
-        if self.is_source_lost(now) {
+        if self.is_source_unavailable(now) {
             self.available_since = now;
         }
         self.confirmed_at = Some(at);
@@ -110,14 +111,14 @@
     }
 
     /// Whether the source counts as unavailable: neither this node nor any that it learns from has
-    /// reached the source for [`LOST_AFTER`].
-    pub fn is_source_lost(&self, now: Timestamp) -> bool {
-        self.age(now).is_none_or(|age| age >= LOST_AFTER)
+    /// reached the source for [`UNAVAILABLE_AFTER`].
+    pub fn is_source_unavailable(&self, now: Timestamp) -> bool {
+        self.age(now).is_none_or(|age| age >= UNAVAILABLE_AFTER)
     }
 
-    /// Returns the time since which the source has been available without interruption; `None` while
-    /// it is unavailable.
+    /// Returns the time since which the source has been available without interruption; `None`
+    /// while it is unavailable.
     pub fn source_available_since(&self, now: Timestamp) -> Option<Timestamp> {
-        (!self.is_source_lost(now)).then_some(self.available_since)
+        (!self.is_source_unavailable(now)).then_some(self.available_since)
     }
 }
--- a/crates/coordination/tests/mesh_source_following.rs
+++ b/crates/coordination/tests/mesh_source_following.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lifthollow_coordination::mesh::source_following::{
-    Follower, Following, Known, Step, seldom_short,
+    Follower, Following, Known, Step, rarely_short_delay,
 };
 use lifthollow_coordination::mesh::watchers::{Place, nodes_to_ask, watchers};
 use lifthollow_state::Timestamp;
@@ -23,7 +23,7 @@
     SmallRng::seed_from_u64(seed)
 }
 
-const NOTHING: Known = Known {
+const KNOWS_NOTHING: Known = Known {
     revision: Revision::NONE,
     is_watcher: false,
     knows_nodes: false,
@@ -40,7 +40,12 @@
 };
 
 /// Returns the node's next step other than waiting, and its time.
-fn next(follower: &mut Follower, mut now: Timestamp, known: Known, seed: u64) -> (Timestamp, Step) {
+fn next_request(
+    follower: &mut Follower,
+    mut now: Timestamp,
+    known: Known,
+    seed: u64,
+) -> (Timestamp, Step) {
     let mut random = random(seed);
     loop {
         match follower.step(now, known, &mut random) {
@@ -53,20 +58,20 @@
 #[test]
 fn a_node_that_starts_looks_for_others_before_it_reads_anything_else() {
     let mut follower = Follower::new(at(0), &mut random(1));
-    assert_eq!(follower.following(NOTHING), Following::Starting);
+    assert_eq!(follower.following(KNOWS_NOTHING), Following::Starting);
     assert_eq!(
-        next(&mut follower, at(0), NOTHING, 1),
+        next_request(&mut follower, at(0), KNOWS_NOTHING, 1),
         (at(0), Step::FindNodes)
     );
 }
 
 #[test]
-fn a_node_that_finds_nobody_reads_the_source_in_the_end() {
+fn a_node_that_finds_no_other_reads_the_source_within_its_limit() {
     for seed in 0..50 {
         let mut follower = Follower::new(at(0), &mut random(seed));
         let mut now = at(0);
         loop {
-            let (when, step) = next(&mut follower, now, NOTHING, seed);
+            let (when, step) = next_request(&mut follower, now, KNOWS_NOTHING, seed);
             now = when;
             match step {
                 Step::FindNodes => follower.nodes_found(now, false, false, &mut random(seed)),
@@ -79,13 +84,13 @@
 }
 
 #[test]
-fn of_a_thousand_nodes_that_find_nobody_few_read_the_source_at_first() {
+fn few_of_a_thousand_nodes_that_find_no_other_read_the_source_early() {
     let early = (0..1000).filter(|seed| {
         let mut follower = Follower::new(at(0), &mut random(*seed));
         follower.nodes_found(at(0), false, false, &mut random(*seed));
         let mut now = at(0);
         loop {
-            let (when, step) = next(&mut follower, now, NOTHING, *seed);
+            let (when, step) = next_request(&mut follower, now, KNOWS_NOTHING, *seed);
             if when > at(1500) {
                 return false;
             }
@@ -100,21 +105,21 @@
 }
 
 #[test]
-fn a_node_chosen_to_watch_reads_the_source_once_nobody_could_help_and_others_wait() {
+fn only_a_node_chosen_to_watch_reads_the_source_as_soon_as_no_node_could_help() {
     let known = Known {
         knows_nodes: true,
-        ..NOTHING
+        ..KNOWS_NOTHING
     };
     for is_chosen in [true, false] {
         let mut follower = Follower::new(at(0), &mut random(1));
         follower.nodes_found(at(10), true, is_chosen, &mut random(1));
-        let (when, step) = next(&mut follower, at(10), known, 1);
+        let (when, step) = next_request(&mut follower, at(10), known, 1);
         let Step::AskNodes(limit) = step else {
             panic!("{step:?}");
         };
         assert!(when == at(10) && when + limit <= at(1510), "{limit:?}");
         follower.nodes_asked(at(15), known, &mut random(1));
-        let (_, step) = next(&mut follower, at(15), known, 1);
+        let (_, step) = next_request(&mut follower, at(15), known, 1);
         assert_eq!(step == Step::ReadAll, is_chosen, "{step:?}");
     }
 }
@@ -123,13 +128,13 @@
 fn a_node_that_starts_goes_on_asking_nodes_while_the_source_fails() {
     let known = Known {
         knows_nodes: true,
-        ..NOTHING
+        ..KNOWS_NOTHING
     };
     let mut follower = Follower::new(at(0), &mut random(1));
     follower.nodes_found(at(10), true, true, &mut random(1));
     follower.nodes_asked(at(15), known, &mut random(1));
     follower.source_failed(at(20), &mut random(1));
-    let (when, step) = next(&mut follower, at(20), known, 1);
+    let (when, step) = next_request(&mut follower, at(20), known, 1);
     let Step::AskNodes(limit) = step else {
         panic!("{step:?}");
     };
@@ -163,7 +168,7 @@
 }
 
 #[test]
-fn a_listener_that_fell_behind_is_told_by_others_before_it_reads() {
+fn a_listener_that_fell_behind_asks_other_nodes_before_it_reads_the_source() {
     let old = Known {
         view_age: Some(Duration::from_millis(1400)),
         ..LISTENING
@@ -187,7 +192,7 @@
 }
 
 #[test]
-fn a_listener_that_fell_behind_reads_in_time_if_nobody_helps() {
+fn a_listener_that_fell_behind_reads_the_source_in_time_if_no_node_helps() {
     let old = Known {
         view_age: Some(Duration::from_millis(1400)),
         ..LISTENING
@@ -197,7 +202,7 @@
         follower.fell_behind(at(0), old, &mut random(seed));
         let mut now = at(0);
         loop {
-            let (when, step) = next(&mut follower, now, old, seed);
+            let (when, step) = next_request(&mut follower, now, old, seed);
             now = when;
             if step == Step::ReadAll {
                 break;
@@ -216,7 +221,7 @@
 }
 
 #[test]
-fn a_watcher_that_fell_behind_reads_at_once_though_its_view_was_fresh() {
+fn a_watcher_that_fell_behind_reads_the_source_at_once_although_its_view_was_fresh() {
     let watching = Known {
         is_watcher: true,
         ..LISTENING
@@ -231,9 +236,10 @@
 }
 
 /// Guards against full reads without a limit: watchers of a store that compacts its history at once
-/// read all of it 60 to 75 times a second each, because the next watch after each read failed again.
+/// read all of it 60 to 75 times a second each, because the next watch after each read failed
+/// again.
 #[test]
-fn a_source_that_has_always_forgotten_its_history_is_read_a_few_times_a_second() {
+fn a_source_that_always_compacts_its_history_is_read_a_few_times_a_second() {
     let watching = Known {
         is_watcher: true,
         ..LISTENING
@@ -241,7 +247,7 @@
     let mut follower = Follower::new(at(0), &mut random(1));
     let (mut now, mut reads) = (at(0), 0);
     while now < at(10_000) {
-        let (when, step) = next(&mut follower, now, watching, 1);
+        let (when, step) = next_request(&mut follower, now, watching, 1);
         now = when + ANSWER_TIME;
         match step {
             Step::Watch => follower.fell_behind(now, watching, &mut random(1)),
@@ -258,7 +264,7 @@
 }
 
 #[test]
-fn a_watcher_that_the_source_refuses_learns_from_the_others() {
+fn a_watcher_that_the_source_refuses_asks_other_nodes() {
     let refused = Known {
         is_watcher: true,
         view_age: Some(Duration::from_millis(1400)),
@@ -270,12 +276,12 @@
         follower.step(at(0), refused, &mut random(1)),
         Step::AskNodes(Duration::MAX)
     );
-    let (when, step) = next(&mut follower, at(1), refused, 1);
+    let (when, step) = next_request(&mut follower, at(1), refused, 1);
     assert_eq!((when, step), (at(100), Step::Watch));
 }
 
 #[test]
-fn a_source_that_fails_is_asked_ever_more_seldom() {
+fn requests_to_a_failing_source_back_off() {
     let watching = Known {
         is_watcher: true,
         ..LISTENING
@@ -284,7 +290,7 @@
     let mut now = at(0);
     let mut asked = 0;
     while now < at(10_000) {
-        let (when, step) = next(&mut follower, now, watching, 1);
+        let (when, step) = next_request(&mut follower, now, watching, 1);
         assert_eq!(step, Step::Watch);
         asked += 1;
         now = when;
@@ -294,14 +300,14 @@
 }
 
 #[test]
-fn a_time_that_is_seldom_short_is_short_for_few_of_many() {
+fn a_rarely_short_delay_is_short_for_few_of_many_nodes() {
     let limit = Duration::from_secs(1);
     let mut random = random(1);
-    let drawn: Vec<Duration> = (0..10_000)
-        .map(|_| seldom_short(limit, &mut random))
+    let delays: Vec<Duration> = (0..10_000)
+        .map(|_| rarely_short_delay(limit, &mut random))
         .collect();
-    assert!(drawn.iter().all(|time| *time <= limit));
-    let short = drawn.iter().filter(|time| **time < limit / 4).count();
+    assert!(delays.iter().all(|time| *time <= limit));
+    let short = delays.iter().filter(|time| **time < limit / 4).count();
     assert!((10..100).contains(&short), "{short}");
 }
 
@@ -344,7 +350,7 @@
 }
 
 #[test]
-fn a_node_that_knows_only_its_own_server_asks_nobody() {
+fn a_node_that_knows_only_its_own_server_asks_no_node() {
     let own = server(0, 1);
     let place = Place {
         zone: &own.zone,
--- a/crates/coordination/tests/mesh_view.rs
+++ b/crates/coordination/tests/mesh_view.rs
@@ -15,9 +15,9 @@
 use rand::{RngExt, SeedableRng};
 
 /// Time in milliseconds within which every node must know that a server is draining.
-const DRAIN: u64 = 2000;
+const DRAIN_MS: u64 = 2000;
 /// Time in milliseconds that a listener may spend on watchers that don't answer.
-const ASKING: u64 = 400;
+const ASKING_MS: u64 = 400;
 
 fn fleet(zones: usize, in_each: usize) -> Vec<ServerInstance> {
     let mut servers = Vec::new();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn watchers_do_not_depend_on_the_order_or_on_other_zones() {
+fn the_choice_of_watchers_does_not_depend_on_the_order_or_on_other_zones() {
     let servers = fleet(4, 20);
     let mut reversed = servers.clone();
     reversed.reverse();
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_server_that_starts_anew_leaves_the_choice_as_it_was() {
+fn a_restarted_server_does_not_change_the_choice_of_watchers() {
     let servers = fleet(3, 5);
     let mut both = servers.clone();
     both.extend(servers.iter().cloned().map(|mut server| {
@@ -89,13 +89,13 @@
 }
 
 #[test]
-fn a_listener_that_hears_nothing_has_asked_before_a_leaving_server_must_be_known() {
+fn a_listener_without_reports_asks_before_a_draining_server_must_be_known() {
     let latest = age_limit(Role::Listener, 1.0);
-    assert!(latest + ms(ASKING) <= ms(DRAIN));
+    assert!(latest + ms(ASKING_MS) <= ms(DRAIN_MS));
 }
 
 #[test]
-fn watchers_check_before_listeners_do() {
+fn watchers_check_their_views_before_listeners() {
     let latest = age_limit(Role::BusyWatcher, 1.0);
     assert!(latest < age_limit(Role::Listener, 0.0));
     assert!(latest < ACCEPTED_AGE);
@@ -105,7 +105,7 @@
 fn a_view_is_as_old_as_its_newest_confirmation() {
     let mut view = ViewFreshness::default();
     assert_eq!(view.age(at(10)), None);
-    assert!(view.is_source_lost(at(10)));
+    assert!(view.is_source_unavailable(at(10)));
     view.confirm(at(1000), at(900));
     view.confirm(at(1000), at(400));
     assert_eq!(view.age(at(1500)), Some(ms(600)));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn an_age_that_is_told_again_is_no_news() {
+fn an_age_that_is_reported_again_does_not_make_a_view_younger() {
     let mut view = ViewFreshness::default();
     let named = NamedAge {
         age: ms(200),
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn the_time_that_a_question_was_held_is_not_taken_for_its_way() {
+fn the_time_that_a_request_was_held_does_not_count_as_transit_time() {
     let named = |held| NamedAge {
         age: ms(100),
         held: ms(held),
@@ -158,7 +158,7 @@
 
 /// A request from one node to another for the age of its view. All times are in milliseconds.
 #[derive(Clone, Copy)]
-struct Question {
+struct AgeRequest {
     from: usize,
     to: usize,
     asked: u64,
@@ -171,30 +171,30 @@
 }
 
 /// Nodes that report the ages of their views to each other.
-struct Talking {
+struct ReportingFleet {
     views: Vec<ViewFreshness>,
-    questions: Vec<Question>,
+    requests: Vec<AgeRequest>,
     random: SmallRng,
 }
 
-impl Talking {
+impl ReportingFleet {
     fn new(count: usize) -> Self {
-        Talking {
+        ReportingFleet {
             views: vec![ViewFreshness::default(); count],
-            questions: Vec::new(),
+            requests: Vec::new(),
             random: SmallRng::seed_from_u64(1),
         }
     }
 
-    /// Lets every node ask a random node in the millisecond that ends at `now`. Each message takes a
-    /// millisecond, and one in `late` messages takes `delay` milliseconds more.
-    fn step(&mut self, now: u64, late: u32, delay: u64) {
+    /// Lets every node ask a random node in the millisecond that ends at `now`. Each message takes
+    /// a millisecond, and one in `delayed_one_in` messages takes `delay` milliseconds more.
+    fn send_requests(&mut self, now: u64, delayed_one_in: u32, delay: u64) {
         for from in 0..self.views.len() {
             let to = self.random.random_range(0..self.views.len());
-            let mut way = || 1 + delay * u64::from(self.random.random_ratio(1, late));
-            let (there, back) = (way(), way());
+            let mut transit = || 1 + delay * u64::from(self.random.random_ratio(1, delayed_one_in));
+            let (there, back) = (transit(), transit());
             let held = self.random.random_range(0..30);
-            self.questions.push(Question {
+            self.requests.push(AgeRequest {
                 from,
                 to,
                 asked: now,
@@ -204,27 +204,27 @@
                 named: None,
             });
         }
-        self.answer(now);
+        self.deliver_answers(now);
     }
 
-    fn answer(&mut self, now: u64) {
-        for question in &mut self.questions {
-            if question.answered == now {
-                let age = self.views[question.to].age(at(now));
-                let held = ms(question.answered - question.arrives);
-                question.named = age.map(|age| NamedAge { age, held });
+    fn deliver_answers(&mut self, now: u64) {
+        for request in &mut self.requests {
+            if request.answered == now {
+                let age = self.views[request.to].age(at(now));
+                let held = ms(request.answered - request.arrives);
+                request.named = age.map(|age| NamedAge { age, held });
             }
-            if question.ends == now
-                && let Some(named) = question.named
+            if request.ends == now
+                && let Some(named) = request.named
             {
-                let age = named.at_most(ms(now - question.asked));
-                self.views[question.from].confirm(at(now), at(now).saturating_sub(age));
+                let age = named.at_most(ms(now - request.asked));
+                self.views[request.from].confirm(at(now), at(now).saturating_sub(age));
             }
         }
-        self.questions.retain(|question| question.ends > now);
+        self.requests.retain(|request| request.ends > now);
     }
 
-    fn youngest(&self, now: u64) -> Duration {
+    fn minimum_age(&self, now: u64) -> Duration {
         let ages = self.views.iter().filter_map(|view| view.age(at(now)));
         ages.min().expect("some view was confirmed")
     }
@@ -233,33 +233,33 @@
 /// Guards against views that count as younger than they are, in a fleet with many messages of which
 /// some are delayed for longer than a draining server may be used.
 #[test]
-fn views_grow_old_in_a_fleet_that_talks_much_when_nobody_reaches_the_source() {
-    for (nodes, late, delay) in [
+fn views_age_in_a_fleet_with_many_messages_when_no_node_reaches_the_source() {
+    for (nodes, delayed_one_in, delay) in [
         (15, 50, 0),
         (15, 50, 3000),
         (70, 200, 1500),
         (300, 500, 2500),
     ] {
-        let mut fleet = Talking::new(nodes);
+        let mut fleet = ReportingFleet::new(nodes);
         for watcher in [0, 1, 2] {
             fleet.views[watcher].confirm(at(1000), at(1000));
         }
         for now in 1001..4000 {
-            fleet.step(now, late, delay);
-            let youngest = fleet.youngest(now);
-            assert!(youngest >= ms(now - 1000), "{nodes} nodes at {now} ms");
+            fleet.send_requests(now, delayed_one_in, delay);
+            let minimum_age = fleet.minimum_age(now);
+            assert!(minimum_age >= ms(now - 1000), "{nodes} nodes at {now} ms");
         }
     }
 }
 
 #[test]
 fn one_node_that_reaches_the_source_keeps_all_views_fresh() {
-    let mut fleet = Talking::new(300);
+    let mut fleet = ReportingFleet::new(300);
     for now in 1000..4000 {
         if now % 500 == 0 {
             fleet.views[9].confirm(at(now), at(now));
         }
-        fleet.step(now, 1000, 1000);
+        fleet.send_requests(now, 1000, 1000);
         if now > 1500 {
             let oldest = fleet.views.iter().map(|view| view.age(at(now))).max();
             assert!(oldest.flatten() <= Some(ms(600)), "at {now} ms");
