--- a/crates/coordination/src/mesh/snapshot_store/mod.rs
+++ b/crates/coordination/src/mesh/snapshot_store/mod.rs
@@ -1,9 +1,8 @@
-//! What the node was told from outside, forward only.
+//! The node's snapshot of the source's items (configuration and servers), which only moves forward.
 //!
-//! A node hears of changes from the source itself and, where the source doesn't
-//! answer it, from other nodes. Whatever the way, nothing older replaces
-//! anything newer: also where the source comes back from an older copy of itself, and for a while
-//! says less than it did ([`departures`]).
+//! A node learns of changes from the source itself and, if the source doesn't answer it, from other
+//! nodes. Whichever way they arrive, older data never replaces newer data. This also holds if the
+//! source is restored from a backup and lacks recent changes for a while ([`departures`]).
 
 mod change_log;
 mod departures;
@@ -21,35 +20,35 @@
 };
 
 use change_log::ChangeLog;
-use departures::{Departures, Missing};
+use departures::{Departures, MissingReason};
 
-/// What came of a change.
+/// The effect of applying a change to the snapshot.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Applied {
-    /// The configuration in force is another one now.
+    /// The configuration in force was replaced.
     Configuration,
-    /// The servers are others now.
+    /// The list of servers changed.
     Servers,
-    /// It was older than what is known, or the same.
+    /// The change had no effect: it was not newer than what is known.
     Nothing,
-    /// The configuration can't be used; the one before stays.
+    /// The configuration is invalid; the previous one stays in force.
     Refused(Vec<ConfigurationError>),
 }
 
-/// The snapshot in force.
+/// The snapshot in force, with the log of changes that led to it.
 #[derive(Clone, Debug, Default)]
 pub struct SnapshotStore {
     snapshot: Arc<Snapshot>,
     departures: Departures,
-    /// The revisions of the entries with an address, which are few.
-    revisions_at: HashMap<SocketAddrV4, Vec<Revision>>,
-    /// The last changes.
+    /// The revisions of the entries at each address. There are few per address.
+    revisions_by_address: HashMap<SocketAddrV4, Vec<Revision>>,
+    /// The most recent changes, for nodes that are behind.
     changes: ChangeLog,
 }
 
 impl SnapshotStore {
-    /// Nothing, of a source in which an entry lasts for `entry_lifetime` if its server does not
-    /// renew it.
+    /// Creates an empty store for a source whose entries expire `entry_lifetime` after their last
+    /// renewal.
     pub fn new(entry_lifetime: Duration) -> Self {
         SnapshotStore {
             departures: Departures::new(entry_lifetime),
@@ -57,24 +56,24 @@
         }
     }
 
-    /// The snapshot in force.
+    /// Returns the snapshot in force.
     pub fn snapshot(&self) -> &Arc<Snapshot> {
         &self.snapshot
     }
 
-    /// Takes in one change that was made at `revision`.
+    /// Applies one change that was made at `revision`.
     pub fn apply(&mut self, now: Timestamp, revision: Revision, change: Change) -> Applied {
         if !revision.continues(self.snapshot.revision) {
             return Applied::Nothing;
         }
-        self.changes.keep(RevisedChange {
+        self.changes.append(RevisedChange {
             revision,
             change: change.clone(),
         });
         match change {
             Change::Configuration(configuration) => self.apply_configuration(configuration),
             Change::Server(instance) => self.apply_server(revision, instance),
-            Change::ServerGone(id) => self.server_gone(now, revision, &id),
+            Change::ServerGone(id) => self.apply_server_gone(now, revision, &id),
             Change::ServerOverwritten(id) => match self.remove_server(revision, &id) {
                 Some(_) => Applied::Servers,
                 None => Applied::Nothing,
@@ -82,14 +81,14 @@
         }
     }
 
-    /// All changes up to `revision` were applied.
+    /// Sets the revision of the snapshot, after all changes up to `revision` were applied.
     pub fn advance(&mut self, revision: Revision) {
         if revision.continues(self.snapshot.revision) {
             Arc::make_mut(&mut self.snapshot).revision = revision;
         }
     }
 
-    /// Takes in what another node knows.
+    /// Applies an update that another node sent.
     pub fn update(&mut self, now: Timestamp, update: Update) -> Vec<Applied> {
         match update {
             Update::Whole(snapshot) => self.replace(now, snapshot),
@@ -111,23 +110,24 @@
         }
     }
 
-    /// What this node says of its snapshot to others.
+    /// Returns the version of the snapshot, which this node reports to others.
     pub fn version(&self) -> SnapshotVersion {
         self.snapshot.version()
     }
 
-    /// Whether a node whose snapshot is of `theirs` needs the whole: the changes since are not
-    /// known apart, or they don't tell the configuration that is in force here.
+    /// Whether a node with a snapshot of version `theirs` must be sent the whole snapshot: the log
+    /// lacks some of the changes since then, or they don't include the configuration that is in
+    /// force here.
     pub fn needs_whole(&self, theirs: SnapshotVersion) -> bool {
         let configuration = self.version().configuration;
-        let is_told = theirs.configuration >= configuration
+        let has_configuration = theirs.configuration >= configuration
             || self
                 .changes
-                .tells_configuration(theirs.revision, configuration);
-        !self.changes.knows_changes_since(theirs.revision) || !is_told
+                .contains_configuration(theirs.revision, configuration);
+        !self.changes.is_complete_since(theirs.revision) || !has_configuration
     }
 
-    /// What a node needs whose snapshot is of `theirs`.
+    /// Returns the update for a node with a snapshot of version `theirs`.
     pub fn update_since(&self, theirs: SnapshotVersion) -> Update {
         match self.needs_whole(theirs) {
             true => Update::Whole((*self.snapshot).clone()),
@@ -138,33 +138,35 @@
         }
     }
 
-    /// Takes in a whole snapshot, if it is newer. It replaces all servers. Its configuration counts
-    /// by its own version: an older snapshot may have a newer one, if the source lost that.
+    /// Applies a whole snapshot, which replaces all servers if it is not older. Its configuration
+    /// is compared by its own version: an older snapshot may hold a newer configuration, if the
+    /// source lost that one.
     pub fn replace(&mut self, now: Timestamp, mut newer: Snapshot) -> Vec<Applied> {
         if newer.revision < self.snapshot.revision {
             let configuration = newer.configuration.into_iter();
             let applied = configuration.map(|newest| self.apply_configuration(newest));
             return applied.filter(|one| *one != Applied::Nothing).collect();
         }
-        self.departures.carry_over(now, &self.snapshot, &mut newer);
-        self.changes.keep_difference(&self.snapshot, &newer);
+        self.departures
+            .correct_snapshot(now, &self.snapshot, &mut newer);
+        self.changes.append_difference(&self.snapshot, &newer);
         let mut applied = Vec::new();
         if let Some(configuration) = newer.configuration.take() {
             applied.push(self.apply_configuration(configuration));
         }
         let before = self.snapshot.servers.clone();
         if before != newer.servers {
-            let why = match newer.revision.era == self.snapshot.revision.era {
-                true => Missing::Removed,
-                false => Missing::Lost,
+            let reason = match newer.revision.era == self.snapshot.revision.era {
+                true => MissingReason::Removed,
+                false => MissingReason::LostByRestore,
             };
             for (id, known) in before {
                 if newer.server(&id).is_none() {
-                    self.departures.note_missing(now, known, why);
+                    self.departures.record_missing(now, known, reason);
                 }
             }
             Arc::make_mut(&mut self.snapshot).servers = newer.servers;
-            self.index_addresses();
+            self.rebuild_address_index();
             applied.push(Applied::Servers);
         }
         if newer.revision > self.snapshot.revision {
@@ -173,36 +175,39 @@
         applied
     }
 
-    /// Forgets servers that vanished too long ago, and doubts about those that are listed all the
-    /// same. True if there were any. The source has been available since `available_since`; none
-    /// while it is lost: then nothing is forgotten, as no server can come back.
+    /// Forgets servers that vanished too long ago, and trusts unconfirmed servers again that are
+    /// still listed after their entries would have expired. Returns whether anything changed. The
+    /// source has been available since `available_since`. This is `None` during an outage: then
+    /// nothing is forgotten, as no server can rewrite its entry.
     pub fn forget_vanished(&mut self, now: Timestamp, available_since: Option<Timestamp>) -> bool {
-        available_since.is_some_and(|since| self.departures.forget_old(now, since))
+        available_since.is_some_and(|since| self.departures.expire(now, since))
     }
 
-    /// Servers that vanished without announcing that they leave, and are not
-    /// forgotten.
+    /// Returns the servers that vanished without announcing that they leave, and that are still
+    /// remembered.
     pub fn recently_vanished(&self) -> Vec<ServerInstance> {
         self.departures.recently_vanished().cloned().collect()
     }
 
-    /// The servers that exist, as far as is known: of the services that are configured,
-    /// and of entries with one address only the newest, since a server that starts at an
-    /// address of before leaves the former one's entry to run out. One whose entry the source lost
-    /// is among them while its address isn't taken. One that vanished without a word, and one that
-    /// had gone and is listed by a copy, are among them only while their service has no other.
+    /// Returns the servers that are believed to exist. Only servers of configured services count.
+    /// Of several entries with the same address only the newest counts, since a server that starts
+    /// at an address used before leaves the former server's entry to expire. A server whose entry
+    /// the source lost by a restore is included unless another has its address. A server that
+    /// vanished without an announcement, or that was removed and only a restored backup lists, is
+    /// included only while its service has no other server.
     pub fn servers_in_force(&self) -> Vec<ServerInstance> {
         let listed = self.snapshot.servers.values();
         let listed = listed.filter(|known| self.is_configured(known) && !self.is_superseded(known));
-        let is_doubted = |known: &&KnownServer| self.departures.is_doubted(&known.instance.id);
-        let (doubted, trusted): (Vec<_>, Vec<_>) = listed.partition(is_doubted);
+        let is_unconfirmed =
+            |known: &&KnownServer| self.departures.is_unconfirmed(&known.instance.id);
+        let (unconfirmed, trusted): (Vec<_>, Vec<_>) = listed.partition(is_unconfirmed);
         let trusted = trusted.into_iter().map(|known| known.instance.clone());
         let mut servers: Vec<ServerInstance> = trusted.collect();
-        self.add_lost(&mut servers);
+        self.add_lost_servers(&mut servers);
         let vanished = self.departures.recently_vanished();
-        let doubted = doubted.into_iter().map(|known| &known.instance);
+        let unconfirmed = unconfirmed.into_iter().map(|known| &known.instance);
         let last_resorts: Vec<ServerInstance> = vanished
-            .chain(doubted)
+            .chain(unconfirmed)
             .filter(|instance| {
                 !servers.iter().any(|server| {
                     server.service == instance.service || server.address == instance.address
@@ -214,8 +219,8 @@
         servers
     }
 
-    fn add_lost(&self, servers: &mut Vec<ServerInstance>) {
-        for lost in self.departures.lost() {
+    fn add_lost_servers(&self, servers: &mut Vec<ServerInstance>) {
+        for lost in self.departures.lost_by_restore() {
             let is_taken = servers.iter().any(|server| server.address == lost.address);
             if !is_taken {
                 servers.push(lost.clone());
@@ -223,8 +228,8 @@
         }
     }
 
-    /// Whether the server belongs to a service that the operators have named. Others get no
-    /// requests, and their nodes must not be chosen to watch or lend for all.
+    /// Whether the server belongs to a service of the configuration. Other servers get no requests,
+    /// and their nodes must not be chosen to watch the source or lend tokens for the fleet.
     fn is_configured(&self, known: &KnownServer) -> bool {
         let configuration = self.snapshot.configuration.as_ref();
         configuration.is_none_or(|configuration| {
@@ -234,31 +239,31 @@
     }
 
     fn is_superseded(&self, known: &KnownServer) -> bool {
-        let revisions = self.revisions_at.get(&known.instance.address);
+        let revisions = self.revisions_by_address.get(&known.instance.address);
         revisions.is_some_and(|all| all.iter().any(|revision| *revision > known.revision))
     }
 
-    fn index_addresses(&mut self) {
-        self.revisions_at.clear();
+    fn rebuild_address_index(&mut self) {
+        self.revisions_by_address.clear();
         for known in self.snapshot.servers.values() {
-            let revisions = self.revisions_at.entry(known.instance.address);
+            let revisions = self.revisions_by_address.entry(known.instance.address);
             revisions.or_default().push(known.revision);
         }
     }
 
-    /// Adds an entry. The work does not grow with the number of servers.
+    /// Adds an entry. The cost does not grow with the number of servers.
     fn insert_server(&mut self, server: KnownServer) {
-        let revisions = self.revisions_at.entry(server.instance.address);
+        let revisions = self.revisions_by_address.entry(server.instance.address);
         revisions.or_default().push(server.revision);
         let servers = &mut Arc::make_mut(&mut self.snapshot).servers;
         servers.insert(server.instance.id.clone(), server);
     }
 
-    /// Takes out an entry. The work does not grow with the number of servers.
-    fn take_server(&mut self, id: &InstanceId) -> Option<KnownServer> {
+    /// Removes an entry. The cost does not grow with the number of servers.
+    fn remove_entry(&mut self, id: &InstanceId) -> Option<KnownServer> {
         let removed = Arc::make_mut(&mut self.snapshot).servers.remove(id)?;
         let address = removed.instance.address;
-        if let Entry::Occupied(mut revisions) = self.revisions_at.entry(address) {
+        if let Entry::Occupied(mut revisions) = self.revisions_by_address.entry(address) {
             revisions
                 .get_mut()
                 .retain(|revision| *revision != removed.revision);
@@ -288,20 +293,26 @@
             return Applied::Nothing;
         }
         let id = instance.id.clone();
-        self.departures.note_written(&id);
-        // Of another start under the same identity nothing is left.
+        self.departures.record_written(&id);
+        // Remove the entries of all other incarnations with the same identity.
         while let Some(known) = self.snapshot.server(&id) {
             let former = known.instance.id.clone();
-            self.take_server(&former);
+            self.remove_entry(&former);
         }
         self.insert_server(KnownServer { instance, revision });
         Applied::Servers
     }
 
-    fn server_gone(&mut self, now: Timestamp, revision: Revision, id: &InstanceId) -> Applied {
+    fn apply_server_gone(
+        &mut self,
+        now: Timestamp,
+        revision: Revision,
+        id: &InstanceId,
+    ) -> Applied {
         match self.remove_server(revision, id) {
             Some(server) => {
-                self.departures.note_missing(now, server, Missing::Removed);
+                self.departures
+                    .record_missing(now, server, MissingReason::Removed);
                 Applied::Servers
             }
             None => Applied::Nothing,
@@ -313,7 +324,7 @@
         if known.revision > revision {
             return None;
         }
-        let start = known.instance.id.clone();
-        self.take_server(&start)
+        let incarnation_id = known.instance.id.clone();
+        self.remove_entry(&incarnation_id)
     }
 }
--- a/crates/coordination/src/mesh/source_following.rs
+++ b/crates/coordination/src/mesh/source_following.rs
@@ -1,17 +1,17 @@
-//! What a node asks the source, and when.
+//! Decides which requests a node sends to the source, and when.
 //!
-//! The source has a bound and a price for each question, so that the questions of all
-//! nodes together must not grow with their number. Few nodes watch it
-//! ([`watchers`](crate::mesh::watchers)) and the others learn from these. That has to hold also
-//! where all nodes lack something at the same moment: they all start, or the source has
-//! forgotten its history and answers only who reads all of it.
+//! The source limits its requests and charges for each, so the total number of requests must not
+//! grow with the number of nodes. Few nodes watch the source
+//! ([`watchers`](crate::mesh::watchers)) and the others learn from these. This must also hold when
+//! all nodes lack something at the same moment: when they all start, or when the source has
+//! compacted its history and answers only full reads.
 //!
-//! A node is in one of four states ([`Following`]). It asks other nodes first. What it asks
-//! the source after that is put off by a time of its own choice that is seldom short
-//! ([`seldom_short`]): few of many nodes ask, and the rest is told by these meanwhile.
+//! A node is in one of four states ([`Following`]). It asks other nodes first. Its requests to the
+//! source after that are delayed by a random time that is rarely short ([`rarely_short_delay`]):
+//! few of many nodes send one, and these tell the others in the meantime.
 //!
-//! A node that starts knows nobody. It looks for others in a read that may be old. Such a
-//! read tells whom to ask and nothing else: it makes no node ready and confirms no view.
+//! A starting node knows no other node. It looks for others with a read that may be stale. Such a
+//! read only tells which nodes to ask: it makes no node ready and confirms no view.
 
 use std::time::Duration;
 
@@ -21,73 +21,75 @@
 
 use crate::mesh::view_freshness::{self, ACCEPTED_AGE, Role};
 
-/// Time between two reads that look for other nodes, on average: where nobody is there yet,
-/// the first nodes that know of others tell the rest.
-const SEARCH_PAUSE: Duration = Duration::from_millis(2000);
-/// The same after one that was not answered.
-const FAILED_SEARCH_PAUSE: Duration = Duration::from_millis(1000);
-/// Time between two rounds of questions of a node that starts, on average.
-const START_ASK_PAUSE: Duration = Duration::from_millis(250);
-/// A node that has found no other one reads the source after this time at most: it may be
-/// the only one.
-const ALONE_LIMIT: Duration = Duration::from_secs(4);
-/// The same if its reads that look for others are not answered.
-const UNANSWERED_LIMIT: Duration = Duration::from_secs(8);
-/// A node whom none of those that it has found can help reads the source after this time at
-/// most.
-const START_LIMIT: Duration = Duration::from_millis(1500);
-/// A listener that has fallen behind reads the source after this time at most, unless others
-/// bring its view up to date.
-const CATCH_UP_LIMIT: Duration = Duration::from_millis(200);
-/// Time between two rounds of questions of a node that catches up.
-const CATCH_UP_ASK_PAUSE: Duration = Duration::from_millis(100);
-/// The shortest time between two reads of all of the source: one whose reads don't help, as it
-/// forgets its history at once, must not be read without end.
-const READ_PAUSE: Duration = Duration::from_millis(250);
-/// A node that was told by a watcher asks none for this long.
-const ASK_PAUSE: Duration = Duration::from_millis(300);
-/// The first pause after an error of the source.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause after errors of the source.
-const MAX_PAUSE: Duration = Duration::from_millis(800);
-/// After an error of the source a node that learns from others asks it again after this time at
-/// most: those that watch do sooner, and one of them tells all others that it is back.
-const LISTENER_PAUSE: Duration = Duration::from_millis(3000);
-/// The shortest time for which it is worth to wait.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1);
-/// The longest time until a node decides anew: what it knows may have changed.
-const LONGEST_WAIT: Duration = Duration::from_millis(250);
+/// Mean time between two reads that look for other nodes. If no other node exists yet, the first
+/// nodes that find others tell the rest.
+const SEARCH_INTERVAL: Duration = Duration::from_millis(2000);
+/// Mean time until the next read that looks for other nodes, after one that was not answered.
+const FAILED_SEARCH_INTERVAL: Duration = Duration::from_millis(1000);
+/// Mean time between two rounds in which a starting node asks other nodes.
+const START_ASK_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum delay until a node that has found no other node reads the source: it may be the only
+/// one.
+const MAX_READ_DELAY_ALONE: Duration = Duration::from_secs(4);
+/// Maximum delay until a node reads the source whose reads that look for others are not answered.
+const MAX_READ_DELAY_UNANSWERED: Duration = Duration::from_secs(8);
+/// Maximum delay until a starting node reads the source if none of the nodes that it has found can
+/// help.
+const MAX_READ_DELAY_AT_START: Duration = Duration::from_millis(1500);
+/// Maximum delay until a listener that has fallen behind reads the source, unless other nodes bring
+/// its view up to date.
+const MAX_READ_DELAY_BEHIND: Duration = Duration::from_millis(200);
+/// Time between two rounds in which a node that catches up asks other nodes.
+const CATCH_UP_ASK_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum time between two full reads of the source. It limits the reads if they don't help
+/// because the source compacts its history immediately.
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(250);
+/// Minimum time until a node asks other nodes again after they refreshed its view, or after it
+/// asked them because the source could not be reached.
+const MIN_ASK_INTERVAL: Duration = Duration::from_millis(300);
+/// The initial delay until the next request after an error of the source. It doubles with each
+/// further error.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// The maximum delay until the next request after errors of the source.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
+/// Maximum delay until a node that learns from others sends the source another request after an
+/// error. Watchers do so sooner, and one of them tells all others when the source is back.
+const MAX_LISTENER_BACKOFF: Duration = Duration::from_millis(3000);
+/// Minimum duration of a wait; shorter ones are lengthened to it.
+const MIN_WAIT: Duration = Duration::from_millis(1);
+/// Maximum time until a node decides again: what it knows may have changed.
+const MAX_WAIT: Duration = Duration::from_millis(250);
 
 /// How a node follows the source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Following {
-    /// It has no snapshot yet.
+    /// The node has no snapshot yet.
     Starting,
-    /// It learns from other nodes.
+    /// The node learns from other nodes.
     Listening,
-    /// It is one of the few that watch the source.
+    /// The node is one of the few that watch the source.
     Watching,
-    /// The source has something newer, and does not tell it the changes since its snapshot.
+    /// The source has a newer revision, but no longer the changes since the node's snapshot.
     CatchingUp,
 }
 
-/// What a node knows when it decides.
+/// The state of a node on which its next step depends.
 #[derive(Clone, Copy, Debug)]
 pub struct Known {
-    /// Revision of its snapshot.
+    /// The revision of the node's snapshot.
     pub revision: Revision,
-    /// Whether it is one of the few that watch the source.
+    /// Whether the node is one of the few that watch the source.
     pub is_watcher: bool,
-    /// Whether it knows other nodes that it could ask.
+    /// Whether the node knows other nodes that it could ask.
     pub knows_nodes: bool,
-    /// Whether a caller or another node has asked it for something lately.
+    /// Whether the node recently had a request from a caller or another node.
     pub is_busy: bool,
-    /// The time since its view was confirmed; none if it never was.
+    /// The time since the node's view was confirmed; `None` if it never was.
     pub view_age: Option<Duration>,
 }
 
 impl Known {
-    /// The role in which its view grows old.
+    /// The role that determines at which age the node checks its view.
     pub fn role(self) -> Role {
         match (self.is_watcher, self.is_busy) {
             (false, _) => Role::Listener,
@@ -104,18 +106,19 @@
 /// What a node does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing for this long.
+    /// Do nothing for this long.
     Wait(Duration),
-    /// Ask other nodes for what it lacks, for no longer than this.
+    /// Ask other nodes for the missing changes, with this time limit.
     AskNodes(Duration),
-    /// Read the servers' addresses from the source, which may be old, to know whom to ask.
+    /// Read the servers' addresses from the source, with a read that may be stale, to find nodes to
+    /// ask.
     FindNodes,
-    /// Read all that the source has.
+    /// Read all items from the source.
     ReadAll,
-    /// Ask the source which revision is its newest. A watch would not do: one that has nothing to
-    /// tell may not be answered.
+    /// Ask the source for its newest revision. A watch would not serve for this: it may not be
+    /// answered while there are no changes.
     AskForNewest,
-    /// Wait for the source's next change.
+    /// Watch the source for its next change.
     Watch,
 }
 
@@ -125,65 +128,68 @@
     }
 }
 
-/// What a node is to do next, from what it knows and what came of its questions.
+/// Decides what a node does next, from its state and the results of its earlier requests.
 #[derive(Clone, Debug)]
 pub struct Follower {
-    /// Drawn anew for each time that the view grows old, from 0 to 1.
-    drawn: f64,
-    /// When a node that starts looks for others again.
+    /// A random number from 0 to 1 that determines the age at which the view is checked. It is
+    /// drawn again for each confirmation of the view.
+    age_fraction: f64,
+    /// When a starting node looks for other nodes again.
     search_at: Timestamp,
-    /// When other nodes are asked again.
+    /// The earliest time at which other nodes are asked again.
     ask_at: Timestamp,
-    /// When all of the source is read, of a node that starts or catches up.
+    /// When a node that starts or catches up makes a full read of the source.
     read_at: Timestamp,
-    /// When all of the source was last read, or begun to be.
+    /// When the last full read of the source began.
     last_read: Option<Timestamp>,
-    /// Whether a read that looks for others was answered.
+    /// Whether any read that looks for other nodes was answered.
     was_answered: bool,
-    /// Whether a node that starts was chosen to watch by those that it has found.
+    /// Whether a starting node is a watcher according to the nodes that it has found.
     is_chosen: bool,
-    /// The revision since which the source does not tell the changes, while none newer is known.
+    /// The revision of a snapshot since which the source no longer has the changes. It is reset
+    /// when the node has a newer snapshot and a fresh view, or when the source brought it up to
+    /// date.
     behind_since: Option<Revision>,
-    /// Whether other nodes were asked in vain since the view was last fresh.
-    asked_in_vain: bool,
-    /// The source is asked for nothing until then.
-    paused_until: Timestamp,
-    /// The same while the node learns from others.
-    listener_paused_until: Timestamp,
-    pause: Duration,
+    /// Whether other nodes were asked without success since the view was last fresh.
+    asked_without_success: bool,
+    /// No requests are sent to the source before this time.
+    backoff_until: Timestamp,
+    /// No requests are sent to the source before this time while the node learns from others.
+    listener_backoff_until: Timestamp,
+    backoff: Duration,
 }
 
-/// A time up to `limit` that is seldom short: half of the nodes draw more than 0.84 of it, one
-/// in 1,000 less than 0.18.
-pub fn seldom_short(limit: Duration, random: &mut impl Rng) -> Duration {
+/// Draws a random time up to `limit` that is rarely short: half of the nodes draw more than 0.84 of
+/// the limit, and one in 1,000 less than 0.18.
+pub fn rarely_short_delay(limit: Duration, random: &mut impl Rng) -> Duration {
     limit.mul_f64(random.random::<f64>().powf(0.25))
 }
 
-/// Half to one and a half times `mean`.
-fn about(mean: Duration, random: &mut impl Rng) -> Duration {
+/// Draws a random time from 0.5 to 1.5 times `mean`.
+fn jittered(mean: Duration, random: &mut impl Rng) -> Duration {
     mean.mul_f64(random.random_range(0.5..1.5))
 }
 
 impl Follower {
-    /// A node that starts.
+    /// Creates the state of a node that starts at `now`.
     pub fn new(now: Timestamp, random: &mut impl Rng) -> Self {
         Follower {
-            drawn: random.random(),
+            age_fraction: random.random(),
             search_at: now,
             ask_at: now,
-            read_at: now + seldom_short(UNANSWERED_LIMIT, random),
+            read_at: now + rarely_short_delay(MAX_READ_DELAY_UNANSWERED, random),
             last_read: None,
             was_answered: false,
             is_chosen: false,
             behind_since: None,
-            asked_in_vain: false,
-            paused_until: now,
-            listener_paused_until: now,
-            pause: FIRST_PAUSE,
+            asked_without_success: false,
+            backoff_until: now,
+            listener_backoff_until: now,
+            backoff: INITIAL_BACKOFF,
         }
     }
 
-    /// How the node follows the source.
+    /// Returns how the node follows the source.
     pub fn following(&self, known: Known) -> Following {
         match self.behind_since {
             _ if known.revision.is_none() => Following::Starting,
@@ -193,19 +199,19 @@
         }
     }
 
-    /// What to do now.
+    /// Returns what the node is to do now.
     pub fn step(&mut self, now: Timestamp, known: Known, random: &mut impl Rng) -> Step {
-        let is_behind = |since: &Revision| known.revision <= *since || !known.is_fresh();
-        self.behind_since = self.behind_since.filter(is_behind);
+        let is_still_behind = |since: &Revision| known.revision <= *since || !known.is_fresh();
+        self.behind_since = self.behind_since.filter(is_still_behind);
         let step = match self.following(known) {
-            Following::Starting => self.start(now, known, random),
-            Following::Listening => self.listen(now, known),
+            Following::Starting => self.step_while_starting(now, known, random),
+            Following::Listening => self.step_while_listening(now, known),
             Following::Watching => Step::Watch,
-            Following::CatchingUp => self.catch_up(now, known),
+            Following::CatchingUp => self.step_while_catching_up(now, known),
         };
         let step = match step {
-            Step::Wait(time) => Step::Wait(time.clamp(SHORTEST_WAIT, LONGEST_WAIT)),
-            step if step.asks_source() && now < self.pause_end(known) => self.pause(now, known),
+            Step::Wait(time) => Step::Wait(time.clamp(MIN_WAIT, MAX_WAIT)),
+            step if step.asks_source() && now < self.backoff_end(known) => self.defer(now, known),
             step => step,
         };
         if step == Step::ReadAll {
@@ -214,22 +220,22 @@
         step
     }
 
-    fn start(&mut self, now: Timestamp, known: Known, random: &mut impl Rng) -> Step {
-        let is_paused = now < self.paused_until;
-        if now >= self.read_at && !is_paused {
-            self.read_at = now + seldom_short(ALONE_LIMIT, random);
+    fn step_while_starting(&mut self, now: Timestamp, known: Known, random: &mut impl Rng) -> Step {
+        let is_backing_off = now < self.backoff_until;
+        if now >= self.read_at && !is_backing_off {
+            self.read_at = now + rarely_short_delay(MAX_READ_DELAY_ALONE, random);
             return Step::ReadAll;
         }
         if known.knows_nodes && now >= self.ask_at {
-            self.ask_at = now + about(START_ASK_PAUSE, random);
-            let until = self.read_at.max(self.paused_until);
+            self.ask_at = now + jittered(START_ASK_INTERVAL, random);
+            let until = self.read_at.max(self.backoff_until);
             return Step::AskNodes(until.saturating_since(now));
         }
-        if now >= self.search_at && !is_paused {
-            self.search_at = now + about(SEARCH_PAUSE, random);
+        if now >= self.search_at && !is_backing_off {
+            self.search_at = now + jittered(SEARCH_INTERVAL, random);
             return Step::FindNodes;
         }
-        let next = self.read_at.min(self.search_at).max(self.paused_until);
+        let next = self.read_at.min(self.search_at).max(self.backoff_until);
         let next = if known.knows_nodes {
             next.min(self.ask_at)
         } else {
@@ -238,74 +244,75 @@
         Step::Wait(next.saturating_since(now))
     }
 
-    fn listen(&mut self, now: Timestamp, known: Known) -> Step {
-        let limit = view_freshness::age_limit(known.role(), self.drawn);
+    fn step_while_listening(&mut self, now: Timestamp, known: Known) -> Step {
+        let limit = view_freshness::age_limit(known.role(), self.age_fraction);
         let age = known.view_age.unwrap_or(Duration::MAX);
         if age < limit {
-            self.asked_in_vain = false;
+            self.asked_without_success = false;
             return Step::Wait(limit - age);
         }
         if now < self.ask_at {
             return Step::Wait(self.ask_at.saturating_since(now));
         }
-        if self.asked_in_vain || !known.knows_nodes {
+        if self.asked_without_success || !known.knows_nodes {
             return Step::AskForNewest;
         }
         Step::AskNodes(Duration::MAX)
     }
 
-    fn catch_up(&mut self, now: Timestamp, known: Known) -> Step {
+    fn step_while_catching_up(&mut self, now: Timestamp, known: Known) -> Step {
         if now >= self.read_at {
             return Step::ReadAll;
         }
         if known.knows_nodes && now >= self.ask_at {
-            self.ask_at = now + CATCH_UP_ASK_PAUSE;
+            self.ask_at = now + CATCH_UP_ASK_INTERVAL;
             return Step::AskNodes(self.read_at.saturating_since(now));
         }
         Step::Wait(self.read_at.min(self.ask_at).saturating_since(now))
     }
 
-    /// Until when the source is asked for nothing.
-    fn pause_end(&self, known: Known) -> Timestamp {
+    /// Returns the time before which no requests are sent to the source.
+    fn backoff_end(&self, known: Known) -> Timestamp {
         let learns_from_others = !known.is_watcher && known.knows_nodes;
         match self.following(known) {
             Following::Listening | Following::CatchingUp if learns_from_others => {
-                self.listener_paused_until
+                self.listener_backoff_until
             }
-            _ => self.paused_until,
+            _ => self.backoff_until,
         }
     }
 
-    /// The source was out of reach a moment ago. Other nodes may reach it, so a node whose view
-    /// has grown old asks these meanwhile.
-    fn pause(&mut self, now: Timestamp, known: Known) -> Step {
+    /// Returns what to do during the delay after an error of the source. Other nodes may reach the
+    /// source, so a node whose view is no longer fresh asks these meanwhile.
+    fn defer(&mut self, now: Timestamp, known: Known) -> Step {
         let may_ask = known.knows_nodes && !known.is_fresh();
         if may_ask && now >= self.ask_at {
-            self.ask_at = now + ASK_PAUSE;
+            self.ask_at = now + MIN_ASK_INTERVAL;
             return Step::AskNodes(Duration::MAX);
         }
         let end = match may_ask {
-            true => self.pause_end(known).min(self.ask_at),
-            false => self.pause_end(known),
+            true => self.backoff_end(known).min(self.ask_at),
+            false => self.backoff_end(known),
         };
-        Step::Wait(end.saturating_since(now).min(LONGEST_WAIT))
+        Step::Wait(end.saturating_since(now).min(MAX_WAIT))
     }
 
-    /// Other nodes were asked. `known` is what the node knows after that.
+    /// Handles the end of a round in which other nodes were asked. `known` is the node's state
+    /// after that.
     pub fn nodes_asked(&mut self, now: Timestamp, known: Known, random: &mut impl Rng) {
         match self.following(known) {
             Following::Starting if self.is_chosen => self.read_at = now,
             Following::Listening if known.is_fresh() => {
-                self.ask_at = now + ASK_PAUSE;
-                self.draw(random);
+                self.ask_at = now + MIN_ASK_INTERVAL;
+                self.draw_age_fraction(random);
             }
-            Following::Listening => self.asked_in_vain = true,
+            Following::Listening => self.asked_without_success = true,
             Following::Starting | Following::Watching | Following::CatchingUp => {}
         }
     }
 
-    /// A read that may be old was answered. It named some nodes, or none; by those that it
-    /// named this one is chosen to watch, or not.
+    /// Handles the answer to a read that looks for other nodes. `are_any` tells whether it listed
+    /// any, and `is_chosen` whether this node is a watcher according to that list.
     pub fn nodes_found(
         &mut self,
         now: Timestamp,
@@ -313,10 +320,14 @@
         is_chosen: bool,
         random: &mut impl Rng,
     ) {
-        self.source_answered();
-        let limit = if are_any { START_LIMIT } else { ALONE_LIMIT };
+        self.reset_backoff();
+        let limit = if are_any {
+            MAX_READ_DELAY_AT_START
+        } else {
+            MAX_READ_DELAY_ALONE
+        };
         if are_any || !self.was_answered {
-            let read_at = now + seldom_short(limit, random);
+            let read_at = now + rarely_short_delay(limit, random);
             self.read_at = match self.was_answered {
                 true => self.read_at.min(read_at),
                 false => read_at,
@@ -326,41 +337,44 @@
         self.is_chosen = is_chosen;
     }
 
-    /// The source told of changes, or that it has nothing newer, or gave all it has.
+    /// Handles an answer of the source that brought the node up to date: changes, the confirmation
+    /// that there are none, or a full read.
     pub fn brought_up_to_date(&mut self, random: &mut impl Rng) {
-        self.source_answered();
+        self.reset_backoff();
         self.behind_since = None;
-        self.asked_in_vain = false;
-        self.draw(random);
+        self.asked_without_success = false;
+        self.draw_age_fraction(random);
     }
 
-    /// The source has something newer than the snapshot, and does not tell the changes since that.
+    /// Handles the answer that the source no longer has the changes since the node's snapshot.
     pub fn fell_behind(&mut self, now: Timestamp, known: Known, random: &mut impl Rng) {
-        self.source_answered();
-        self.asked_in_vain = false;
+        self.reset_backoff();
+        self.asked_without_success = false;
         self.behind_since = Some(known.revision);
         self.ask_at = now;
         let read_at = match known.is_watcher {
             true => now,
-            false => now + seldom_short(CATCH_UP_LIMIT, random),
+            false => now + rarely_short_delay(MAX_READ_DELAY_BEHIND, random),
         };
-        let earliest = self.last_read.map_or(now, |last| last + READ_PAUSE);
+        let earliest = self.last_read.map_or(now, |last| last + MIN_READ_INTERVAL);
         self.read_at = read_at.max(earliest);
     }
 
-    /// The source did not answer, or refused.
+    /// Handles a request that the source refused or did not answer.
     pub fn source_failed(&mut self, now: Timestamp, random: &mut impl Rng) {
-        self.search_at = self.search_at.min(now + about(FAILED_SEARCH_PAUSE, random));
-        self.paused_until = now + self.pause;
-        self.listener_paused_until = now + seldom_short(LISTENER_PAUSE, random);
-        self.pause = (self.pause * 2).min(MAX_PAUSE);
+        self.search_at = self
+            .search_at
+            .min(now + jittered(FAILED_SEARCH_INTERVAL, random));
+        self.backoff_until = now + self.backoff;
+        self.listener_backoff_until = now + rarely_short_delay(MAX_LISTENER_BACKOFF, random);
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
     }
 
-    fn source_answered(&mut self) {
-        self.pause = FIRST_PAUSE;
+    fn reset_backoff(&mut self) {
+        self.backoff = INITIAL_BACKOFF;
     }
 
-    fn draw(&mut self, random: &mut impl Rng) {
-        self.drawn = random.random();
+    fn draw_age_fraction(&mut self, random: &mut impl Rng) {
+        self.age_fraction = random.random();
     }
 }
