--- a/crates/coordination/src/mesh/poison/content.rs
+++ b/crates/coordination/src/mesh/poison/content.rs
@@ -1,35 +1,35 @@
-//! What makes two requests the same to a server.
+//! Content of a request, by which a request that is sent again is recognized.
 
 use std::fmt;
 
 use lifthollow_state::ServiceName;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// What a server is given of a request, but for what differs from one attempt to
-/// the next.
+/// Parts of a request that a server receives and that stay the same from one attempt to the
+/// next.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
-    /// Its method.
+    /// HTTP method of the request.
     pub method: &'a str,
-    /// The host that it names.
+    /// Host that the request names.
     pub host: &'a str,
-    /// Its path and query.
+    /// Path and query of the request.
     pub target: &'a str,
-    /// Length of its body, bytes; none if that isn't known before its end.
+    /// Length of the request body in bytes; `None` if it isn't known before the body ends.
     pub body_length: Option<u64>,
 }
 
-/// A hash of a request's content; two requests with the same are the same to a
-/// server. With 128 bits, a million different requests share one by chance with a
-/// probability below 1e-26.
+/// Hash of a request's content; requests with equal fingerprints are treated as the same
+/// request. With 128 bits, the probability that any two of a million different requests collide
+/// is below 1e-26.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ContentFingerprint(pub u128);
 
-/// Written between the parts, so that none can pass for a piece of the next.
+/// Byte hashed after each part, so that moving bytes from one part to the next changes the hash.
 const SEPARATOR: [u8; 1] = [0];
 
 impl ContentFingerprint {
-    /// The fingerprint of `content` with a body that begins with `body`.
+    /// Computes the fingerprint of `content` with a body that begins with `body`.
     pub fn of<'b>(content: &RequestContent, body: impl Iterator<Item = &'b [u8]>) -> Self {
         let mut hasher = Xxh3Default::new();
         for part in [content.method, content.host, content.target] {
@@ -50,13 +50,13 @@
     }
 }
 
-/// A content, and the service on whose machine its request started. Servers are told that
-/// service, so what it asks may be another matter for each; or the same for all.
+/// Content of a request together with the service on whose machine the request started. Servers
+/// are told that service, so the same content may be handled differently for each of them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallerContent {
-    /// What is asked.
+    /// Fingerprint of the request's content.
     pub content: ContentFingerprint,
-    /// The service on whose machine the request started.
+    /// Service on whose machine the request started.
     pub caller: ServiceName,
 }
 
--- a/crates/coordination/src/mesh/poison/mod.rs
+++ b/crates/coordination/src/mesh/poison/mod.rs
@@ -1,15 +1,15 @@
 //! Requests that crash the servers that run them ("poison requests").
 //!
-//! Such a request comes again and again, each time under a new identity and at
-//! any node, so only its content tells that it is the same one. What a crash says
-//! against each content that was aboard is told to all nodes; what was aboard of three
-//! crashes, and has not run well since, is blocked.
+//! Such a request is sent again and again, each time with a new request ID and to any node, so it
+//! can be recognized only by its content. All nodes are told of each crash and of the contents
+//! that were running on the crashed server. A content that was running during three crashes, and
+//! has not run successfully since, is blocked.
 //!
-//! - [`content`]: what makes two requests the same;
-//! - [`server_runs`]: what was at the server beside a node when that crashed;
-//! - [`recent_contents`]: what ran well there lately;
-//! - [`suspicion`]: the evidence against one content, and what follows from it;
-//! - [`suspects`]: all that a node knows, and how nodes join what they know.
+//! - [`content`]: the content of a request and its fingerprint;
+//! - [`server_runs`]: the requests running on the server beside a node when it crashes;
+//! - [`recent_contents`]: the contents that this server recently ran successfully;
+//! - [`suspicion`]: the evidence against one content and the block that follows from it;
+//! - [`suspects`]: all evidence that a node has, and how nodes merge their evidence.
 
 pub mod content;
 pub mod recent_contents;
--- a/crates/coordination/src/mesh/poison/recent_contents.rs
+++ b/crates/coordination/src/mesh/poison/recent_contents.rs
@@ -1,4 +1,4 @@
-//! What servers ran well lately.
+//! Request contents that servers recently ran successfully.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -8,17 +8,17 @@
 use crate::mesh::poison::content::{CallerContent, ContentFingerprint};
 use crate::mesh::poison::suspicion::GOOD_RUN_COVERS;
 
-/// A content is remembered for at least this long, and for twice as long at most.
+/// Minimum time for which a content is remembered; the maximum is twice as long.
 const REMEMBERED: Duration = GOOD_RUN_COVERS;
-/// At most so many contents are remembered of each such span, some 150 bytes each with one
-/// caller (reckoned): 1.2 MiB in all. Of a server that runs more different ones, those that
-/// come often are among the first.
+/// Maximum number of contents remembered per generation. One takes an estimated 150 bytes with
+/// one caller: 1.2 MiB in both generations. If a server runs more different contents, the frequent
+/// ones are among the first and are remembered.
 const MAX_CONTENTS: usize = 4096;
 
-/// When a content was last run well, by the service of its callers.
+/// Time of the last successful run of a content, by calling service.
 type Served = HashMap<ServiceName, Timestamp>;
 
-/// Contents, and when each was last run well.
+/// Contents that ran successfully and the time of the last such run, in two generations.
 #[derive(Clone, Debug, Default)]
 pub struct RecentContents {
     newer: HashMap<ContentFingerprint, Served>,
@@ -27,7 +27,7 @@
 }
 
 impl RecentContents {
-    /// A server ran `content` well.
+    /// Records that a server ran `content` successfully at `now`.
     pub fn note(&mut self, now: Timestamp, content: CallerContent) {
         self.turn(now);
         if self.newer.len() < MAX_CONTENTS || self.newer.contains_key(&content.content) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// When a server last ran `content` well, if that was lately.
+    /// Returns when a server last ran `content` successfully, if that is still remembered.
     pub fn last(&mut self, now: Timestamp, content: &CallerContent) -> Option<Timestamp> {
         self.turn(now);
         let last_of = |served: &HashMap<_, Served>| {
@@ -46,7 +46,7 @@
         last_of(&self.newer).or_else(|| last_of(&self.older))
     }
 
-    /// When servers last ran `content` well, for each service that called.
+    /// Returns when servers last ran `content` successfully, for each calling service.
     pub fn served(
         &mut self,
         now: Timestamp,
@@ -54,7 +54,7 @@
     ) -> Vec<(CallerContent, Timestamp)> {
         self.turn(now);
         let spans = [&self.older, &self.newer].into_iter();
-        // What is newer comes last, and stays.
+        // The newer generation comes last and overwrites entries of the older one.
         let served = spans.flat_map(|span| span.get(&content).into_iter().flatten());
         let by_caller: BTreeMap<_, _> = served.collect();
         let known = by_caller.into_iter().map(|(caller, at)| {
--- a/crates/coordination/src/mesh/poison/server_runs.rs
+++ b/crates/coordination/src/mesh/poison/server_runs.rs
@@ -1,4 +1,4 @@
-//! What was at the server beside a node when that crashed.
+//! Requests running on the server beside a node, to find which may have caused its crash.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::Duration;
@@ -9,9 +9,9 @@
 use crate::inbound::InboundId;
 use crate::mesh::poison::content::CallerContent;
 
-/// A run without a good answer is suspected of a crash that comes this much later.
-/// A server may break an answer off, or lose its caller, and crash under that run
-/// all the same: 115 ms after its start in a recorded day, 35 to 59 ms in others.
+/// Time after its end for which a run without a successful response is suspected if the server
+/// crashes. A server may break off a response, or lose its caller, and still crash because of that
+/// run: in recorded days 115 ms after the run's start, or 35 to 59 ms.
 const AFTERMATH: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Debug)]
@@ -20,29 +20,29 @@
     server: InstanceId,
 }
 
-/// The runs at the server beside a node, and those that ended a moment ago without
-/// a good answer.
+/// Runs in progress on the server beside a node, and runs that recently ended without a successful
+/// response.
 #[derive(Clone, Debug, Default)]
 pub struct ServerRuns {
     running: HashMap<InboundId, Run>,
-    /// Oldest first.
+    /// Runs that ended without a successful response, with the time of their end; oldest first.
     unserved: VecDeque<(Timestamp, Run)>,
 }
 
 impl ServerRuns {
-    /// A request with this content is given to `server`.
+    /// Records that a request with this content was handed to `server`.
     pub fn started(&mut self, run: InboundId, content: CallerContent, server: &InstanceId) {
         let server = server.clone();
         self.running.insert(run, Run { content, server });
     }
 
-    /// The request did not reach the server, or the server says that it did not run it.
+    /// Removes a request that did not reach the server, or that the server reported as not run.
     pub fn not_run(&mut self, run: InboundId) {
         self.running.remove(&run);
     }
 
-    /// A run has ended; `is_served` if the server gave a good answer. Returns what
-    /// it ran.
+    /// Records the end of a run and returns its content. `is_served` tells whether the server
+    /// responded successfully.
     pub fn ended(
         &mut self,
         now: Timestamp,
@@ -58,8 +58,8 @@
         Some(content)
     }
 
-    /// `server` has crashed: the contents that may have been the cause, each once.
-    /// They are not named again.
+    /// Records a crash of `server` and returns, without duplicates, the contents that may have
+    /// caused it. They are removed, so another call doesn't return them again.
     pub fn crashed(&mut self, now: Timestamp, server: &InstanceId) -> Vec<CallerContent> {
         self.forget_old(now);
         let running = self.running.values();
--- a/crates/coordination/src/mesh/poison/suspects.rs
+++ b/crates/coordination/src/mesh/poison/suspects.rs
@@ -1,9 +1,9 @@
-//! What a node knows of contents that may crash servers, by its own eyes and by what
-//! other nodes tell.
+//! Evidence that a node has about request contents that may crash servers, from its own
+//! observations and from other nodes.
 //!
-//! Nodes compare digests of what they know, and fetch the whole where it differs.
-//! Knowledge only grows until it is over, and is joined entry by entry, so that all
-//! nodes that are in touch end with the same.
+//! Nodes compare digests of their evidence and fetch all of it if the digests differ. Until it
+//! expires, evidence is only added, and it is merged entry by entry, so that all connected nodes
+//! converge to the same evidence.
 
 use std::collections::{HashMap, HashSet};
 use std::hash::Hasher;
@@ -17,68 +17,72 @@
 use crate::mesh::poison::content::{CallerContent, ContentFingerprint};
 use crate::mesh::poison::suspicion::{Evidence, Moment, PROOF, Suspicion};
 
-/// Contents that are kept, about 200 bytes each. The ones with the fewest crashes go first.
+/// Maximum number of contents kept, about 200 bytes each. Above it, the contents with the fewest
+/// crashes are dropped first.
 const MAX_SUSPECTS: usize = 1024;
-/// A node lets one trial run in this time, unless it ends well sooner. A server may crash a moment
-/// after it has broken off its answer.
+/// Minimum time between the starts of two trials at a node, unless the first ends successfully
+/// sooner. It is needed because a server may crash shortly after it has broken off its response.
 pub const TRIAL_PAUSE: Duration = Duration::from_secs(2);
 
-/// No request is refused for a proof that is younger: a node may know of the third crash before
-/// it knows of good runs at others. Requests wait meanwhile.
+/// Minimum age of a proof before requests are refused because of it; until then requests wait. A
+/// node may learn of the third crash before it learns of successful runs at other nodes.
 pub const SETTLING: Duration = Duration::from_millis(100);
 
-/// What may be done with a request.
+/// Decision on whether a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may run.
+    /// The request may run.
     Admitted,
-    /// It crashes servers, and may be tried after this time.
+    /// The request crashes servers; a trial of it may run after this time.
     Blocked(Duration),
-    /// It crashed servers; it may run at the server that [`trial_server`] names.
+    /// The request crashed servers; a trial of it may run on the server that [`trial_server`]
+    /// selects.
     OnTrial,
 }
 
-/// A content whose standing has changed.
+/// Change of the callers for which a content is blocked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The content.
+    /// Fingerprint of the content.
     pub content: ContentFingerprint,
-    /// The callers whose requests are blocked now; empty if there are none any more.
+    /// Callers whose requests with this content are blocked now; empty if the content is no longer
+    /// blocked.
     pub blocked_callers: Vec<ServiceName>,
-    /// The servers that crashed with it aboard.
+    /// Servers whose crashes count against the content.
     pub servers: Vec<InstanceId>,
-    /// How long it is blocked.
+    /// Remaining time of the block; the longest one if it differs between callers.
     pub blocked_for: Duration,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Suspect {
     suspicion: Suspicion,
-    /// The callers for whom it was blocked when changes were last asked for.
+    /// Callers for which the content was blocked at the last call of [`Suspects::take_changes`].
     told_blocked: Vec<ServiceName>,
 }
 
-/// A run that shows whether a content still crashes servers.
+/// Run of a blocked content that shows whether it still crashes servers.
 #[derive(Clone, Debug)]
 struct Trial {
     content: ContentFingerprint,
     began: Timestamp,
 }
 
-/// All that a node knows.
+/// All evidence that a node has about contents that may crash servers.
 #[derive(Clone, Debug, Default)]
 pub struct Suspects {
     suspects: HashMap<ContentFingerprint, Suspect>,
-    /// Those proven contents whose crashes others may have caused. Kept, as finding out takes a
-    /// look at all suspects, and a blocked request must cost little.
+    /// Proven contents whose crashes other contents may have caused. Cached, because computing it
+    /// goes through all suspects and refusing a request must be cheap.
     doubtful: HashSet<ContentFingerprint>,
-    /// The last one at the server beside this node, unless it ran well.
+    /// Last trial on the server beside this node, unless it ran successfully.
     trial: Option<Trial>,
     digest: u64,
 }
 
 impl Suspects {
-    /// `server` crashed with these contents aboard. True if that is news.
+    /// Records that `server` crashed while running `aboard`. Returns true if the crash
+    /// was not known for at least one of them.
     pub fn note_crash(
         &mut self,
         now: Timestamp,
@@ -96,7 +100,7 @@
         is_new
     }
 
-    /// A server ran `request` well at `at`.
+    /// Records that a server ran `request` successfully at `at`.
     pub fn note_served(&mut self, at: Timestamp, request: &CallerContent) {
         self.end_trial(at, &request.content);
         let Some(suspect) = self.suspects.get_mut(&request.content) else {
@@ -114,7 +118,7 @@
         }
     }
 
-    /// What may be done with a request.
+    /// Decides whether `request` may run at `now`.
     pub fn verdict(&self, now: Timestamp, request: &CallerContent) -> Verdict {
         match self.blocked_for(now, request) {
             None => Verdict::Admitted,
@@ -124,20 +128,20 @@
         }
     }
 
-    /// How long a request is still blocked if nothing but a trial ends that; zero once it may be
-    /// tried.
+    /// Returns how much longer `request` is blocked if other contents don't explain its crashes:
+    /// zero once a trial may run, and `None` if it isn't proven to crash servers.
     fn blocked_for(&self, now: Timestamp, request: &CallerContent) -> Option<Duration> {
         let suspicion = &self.suspects.get(&request.content)?.suspicion;
         let is_doubtful = self.doubtful.contains(&request.content);
         suspicion.blocked_for(&request.caller, now, is_doubtful)
     }
 
-    /// Whether other contents explain so many of the crashes that speak against this request
-    /// that the rest prove nothing, while this one's content runs well for other callers.
+    /// Returns whether other contents explain so many of the crashes that count against `request`
+    /// that fewer than [`PROOF`] remain, while its content has run successfully for some caller.
     ///
-    /// Otherwise what is asked often is blocked with the causes of an outbreak that begins
-    /// before it has run well. One crash more that nothing explains is no proof either: servers
-    /// crash for other causes too.
+    /// Without this check, a frequent content is blocked along with the causes of a series of
+    /// crashes that begins before it has run successfully. A single unexplained crash proves nothing
+    /// either, as servers crash for other reasons too.
     fn is_explained(&self, request: &CallerContent) -> bool {
         let Some(suspect) = self.suspects.get(&request.content) else {
             return false;
@@ -153,8 +157,8 @@
             < PROOF
     }
 
-    /// The servers that contents may have crashed which crashed others too and never ran well for
-    /// anybody, and how many such contents.
+    /// Returns, for each crashed server, the number of contents that may have caused its crash:
+    /// contents that other servers crashed with too and that never ran successfully for any caller.
     fn possible_causes(&self) -> HashMap<&InstanceId, usize> {
         let suspicions = self.suspects.values().map(|suspect| &suspect.suspicion);
         let explaining = suspicions.filter(|suspicion| suspicion.explains_others());
@@ -165,8 +169,8 @@
         causes
     }
 
-    /// How long to wait before a request is refused for a proof that is this young; zero if
-    /// there is none, or it is old enough.
+    /// Returns how long to wait before `request` may be refused, because its proof is younger than
+    /// [`SETTLING`]; zero if there is no proof or it is old enough.
     pub fn settles_in(&self, now: Timestamp, request: &CallerContent) -> Duration {
         let suspect = self.suspects.get(&request.content);
         let proven_for =
@@ -174,14 +178,16 @@
         proven_for.map_or(Duration::ZERO, |age| SETTLING.saturating_sub(age))
     }
 
-    /// The servers that crashed with `content` aboard, as far as no good run speaks against it.
+    /// Returns the number of servers that crashed while running `content`, without crashes that a
+    /// successful run clears it of.
     pub fn crashes(&self, content: &ContentFingerprint) -> usize {
         let suspect = self.suspects.get(content);
         suspect.map_or(0, |suspect| suspect.suspicion.servers().len())
     }
 
-    /// A trial of `content` asks to run at this node's server. False if one of any content has
-    /// begun a moment ago and has not ended well: a crash under both would speak against both.
+    /// Starts a trial of `content` on this node's server. Returns false if a trial of any content
+    /// began less than [`TRIAL_PAUSE`] ago and hasn't ended successfully: a crash during both
+    /// trials would count against both contents.
     pub fn begin_trial(&mut self, now: Timestamp, content: &ContentFingerprint) -> bool {
         let is_recent = |trial: &Trial| now.saturating_since(trial.began) < TRIAL_PAUSE;
         if self.trial.as_ref().is_some_and(is_recent) {
@@ -194,30 +200,32 @@
         true
     }
 
-    /// A trial that runs well makes way for the next one.
+    /// Ends the trial of `content` after a successful run at `at`, so that the next one may start.
     fn end_trial(&mut self, at: Timestamp, content: &ContentFingerprint) {
         self.trial
             .take_if(|trial| trial.content == *content && at >= trial.began);
     }
 
-    /// Tells what is known apart from what another node knows; zero if nothing is.
+    /// Returns a digest of the evidence, by which nodes detect that theirs differs; zero if there is
+    /// no evidence.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// All that is suspected or was.
+    /// Returns the contents for which there is evidence, whether or not it still counts.
     pub fn contents(&self) -> Vec<ContentFingerprint> {
         self.suspects.keys().copied().collect()
     }
 
-    /// How many contents are suspected, and how many of them are proven.
+    /// Returns the number of contents with evidence and how many of them are proven to crash
+    /// servers.
     pub fn counts(&self) -> (usize, usize) {
         let suspects = self.suspects.values();
         let proven = suspects.filter(|suspect| suspect.suspicion.is_proven());
         (self.suspects.len(), proven.count())
     }
 
-    /// All that is known, for another node.
+    /// Returns all evidence as reports for another node, with ages instead of times.
     pub fn reports(&self, now: Timestamp) -> SuspectReports {
         let suspects = self.suspects.iter();
         let reports = suspects.flat_map(|(content, suspect)| {
@@ -229,8 +237,8 @@
         }
     }
 
-    /// Joins what another node answered to a question of `asked`. True if it tells of a
-    /// crash that was not known.
+    /// Merges the reports with which another node answered a request sent at `asked`. Returns true
+    /// if they contain a crash that was not known.
     pub fn join(&mut self, now: Timestamp, asked: Timestamp, reports: SuspectReports) -> bool {
         let mut news = Vec::new();
         for report in reports.suspects {
@@ -240,7 +248,7 @@
             }
         }
         self.bound(now);
-        // What is over by now is no news.
+        // Evidence that has expired by now and was dropped again doesn't count as new.
         news.iter()
             .any(|content| self.suspects.contains_key(content))
     }
@@ -251,7 +259,8 @@
         content: ContentFingerprint,
         report: SuspectReport,
     ) -> bool {
-        // From the question on: an age may be told too great, and never too small.
+        // Ages are counted back from when the request was sent, which can make evidence seem too
+        // old, but never too recent.
         let moment = |age_ms| Moment::before(asked, Duration::from_millis(age_ms));
         let caller = ServiceName::new(&report.caller);
         let known = self.suspects.entry(content).or_default();
@@ -266,7 +275,7 @@
         is_new
     }
 
-    /// Forgets what is over.
+    /// Drops expired evidence.
     pub fn forget_old(&mut self, now: Timestamp) {
         let before = self.suspects.len();
         self.drop_over(now);
@@ -280,7 +289,7 @@
             .retain(|_, suspect| !suspect.suspicion.is_over(now));
     }
 
-    /// The contents that were blocked, or admitted again, since this was last asked.
+    /// Returns the contents whose blocked callers have changed since the last call.
     pub fn take_changes(&mut self, now: Timestamp) -> Vec<Change> {
         let mut changes = Vec::new();
         for content in self.suspects.keys().copied().collect::<Vec<_>>() {
@@ -345,7 +354,7 @@
         }
     }
 
-    /// Finds out anew what is kept of all suspects together.
+    /// Recomputes the digest and the cached set of ambiguous contents.
     fn refresh(&mut self) {
         let suspects = self.suspects.iter();
         let digests = suspects.map(|(content, suspect)| digest(content, &suspect.suspicion));
@@ -353,8 +362,8 @@
         self.doubtful = self.find_doubtful();
     }
 
-    /// The proven contents of whose crashes others may have caused so many that the rest prove
-    /// nothing. They may be the cause all the same.
+    /// Returns the proven contents for which fewer than [`PROOF`] crashes remain without those that
+    /// other contents may have caused. They may be the cause all the same.
     fn find_doubtful(&self) -> HashSet<ContentFingerprint> {
         let suspects = self.suspects.iter();
         let proven = suspects.filter(|(_, suspect)| suspect.suspicion.is_proven());
@@ -374,7 +383,8 @@
     }
 }
 
-/// Does not depend on moments, which differ a little from node to node.
+/// Computes the digest of the evidence about one content. It doesn't include times, which differ
+/// slightly between nodes.
 fn digest(content: &ContentFingerprint, suspicion: &Suspicion) -> u64 {
     let mut hasher = Xxh3Default::new();
     hasher.update(&content.0.to_be_bytes());
@@ -382,7 +392,7 @@
         hasher.update(caller.as_str().as_bytes());
         hasher.update(&(evidence.counted().count() as u64).to_be_bytes());
         for (server, _) in evidence.crashes() {
-            // With its start: the same server may crash again under its identity.
+            // Includes the start time, because a restarted server may crash again under the same ID.
             hasher.update(server.to_string().as_bytes());
         }
     }
@@ -413,9 +423,10 @@
     }
 }
 
-/// The one server of `servers` at which a content may be tried: all nodes that know the
-/// same servers name the same one, so that their trials don't add up. None for the last
-/// server of a service, which a trial might end.
+/// Selects the server of `servers` on which a trial of `content` may run. All nodes that know the
+/// same servers select the same one, so that the number of trials doesn't grow with the number of
+/// nodes. Returns `None` if there are fewer than two servers, as the trial might crash the last
+/// server of a service.
 pub fn trial_server<'s>(
     content: &ContentFingerprint,
     servers: &'s [InstanceId],
--- a/crates/coordination/src/mesh/poison/suspicion.rs
+++ b/crates/coordination/src/mesh/poison/suspicion.rs
@@ -1,4 +1,4 @@
-//! The evidence against one content, by the service of its callers.
+//! Evidence that one request content crashes servers, by calling service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,59 +6,63 @@
 use lifthollow_state::mesh::InstanceId;
 use lifthollow_state::{ServiceName, Timestamp};
 
-/// Crashes of so many servers, without a good run since the first, prove that a content
-/// is their cause. With two, a request that shared one server with the cause and was
-/// sent again would be blocked as well.
+/// Number of crashed servers, without a successful run since the first crash, that proves that a
+/// content is the cause. With two, a harmless request that was running beside the cause on one
+/// server and was sent again would be blocked as well.
 pub const PROOF: usize = 3;
-/// Two crashes of a content that never ran well explain each other; one may be chance, as what
-/// is asked once only is aboard of one crash at most.
+/// Number of crashed servers from which a content that never ran successfully is taken as a
+/// possible cause of these crashes. One may be chance: a content that is requested only once is
+/// running during at most one crash.
 const EXPLAINING: usize = 2;
-/// A good run counts against all crashes before it, and those of this time after it: what
-/// runs well everywhere is also aboard when a rack of servers loses power at once, and while
-/// another request crashes all servers as soon as they are back nothing runs well. A request
-/// that ran well and crashes servers from some moment on costs those of this time more.
+/// A successful run clears a content of all earlier crashes and of those within this time after
+/// it. Harmless requests are running, too, when a rack of servers loses power at once, and nothing
+/// runs successfully while another request crashes all servers as soon as they are back. The price:
+/// if a content that ran successfully starts to crash servers, the crashes within this time are not
+/// counted against it and come on top of those that prove it.
 pub const GOOD_RUN_COVERS: Duration = Duration::from_secs(10);
-/// Crashes that are closer together than this come of one time at which the content was let
-/// run: of copies that were under way when it was proven.
+/// Crashes that are closer together than this belong to one admission of the content: they are
+/// caused by copies that were already in flight when the content was proven.
 const ONE_WAVE: Duration = Duration::from_secs(10);
-/// How long a proven content is blocked, by the times at which it was let run. The first is
-/// long enough for servers to be back and warm; then one run is tried, so that a wrong
-/// block ends. Trials that crash their server become rare.
+/// Time for which a proven content is blocked, by the number of failed trials. The first is long
+/// enough for servers to restart and warm up; then one trial run is allowed, so that a wrong block
+/// ends. The increasing times make trials that crash a server rare.
 const BLOCKED_FOR: [Duration; 4] = [
     Duration::from_secs(30),
     Duration::from_secs(5 * 60),
     Duration::from_secs(60 * 60),
     Duration::from_secs(24 * 60 * 60),
 ];
-/// How long a content is blocked at first if others may have caused most of its crashes. Only a
-/// run tells which of them is the cause. Longer than [`ONE_WAVE`] and than news takes, so that a
-/// crash under that run counts as a trial's.
+/// Time for which a content is blocked at first if other contents may have caused most of its
+/// crashes; only a trial run shows which of them is the cause. It is longer than
+/// [`ONE_WAVE`] and than reports take to reach other nodes, so that a crash during
+/// that run counts as a failed trial.
 const DOUBTFUL_BLOCK: Duration = Duration::from_secs(12);
-/// What is not proven is forgotten after this time: most of it shared a server with the
-/// cause and never comes again.
+/// Time after its last crash at which an unproven content is forgotten. Most such contents were
+/// running beside the cause by chance and are never requested again.
 const SUSPECTED_FOR: Duration = Duration::from_secs(10 * 60);
-/// A proven content that doesn't come any more is forgotten this long after its block.
+/// Time after the end of its block at which a proven content without new crashes is forgotten.
 const REMEMBERED_AFTER_BLOCK: Duration = Duration::from_secs(60 * 60);
 
-/// A moment on the clock of this process; it may lie before the start of that clock,
-/// as other nodes tell of what was before.
+/// Time on the clock of this process. It may be negative, before the start of that clock, because
+/// other nodes report crashes and runs from before this process started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment(i64);
 
 impl Moment {
-    /// So long before `now`.
+    /// Returns the time `age` before `now`.
     pub fn before(now: Timestamp, age: Duration) -> Self {
         let age = i64::try_from(age.as_micros()).unwrap_or(i64::MAX);
         Moment((now.as_micros() as i64).saturating_sub(age))
     }
 
-    /// The time since this moment; zero if it is to come.
+    /// Returns the time elapsed since this time; zero if it is in the future.
     pub fn age(self, now: Timestamp) -> Duration {
         let age = (now.as_micros() as i64).saturating_sub(self.0);
         Duration::from_micros(age.max(0) as u64)
     }
 
-    /// The time until `time` after this moment has passed; zero if it has.
+    /// Returns how much of `time`, counted from this time, is left at `now`; zero if
+    /// it has elapsed.
     fn left_of(self, time: Duration, now: Timestamp) -> Duration {
         time.saturating_sub(self.age(now))
     }
@@ -68,11 +72,11 @@
     }
 }
 
-/// The crashes that a content was aboard of with requests of one service's machines,
-/// and when such a request was last run well.
+/// Crashes during which requests with one content from one calling service were running, and the
+/// last successful run of such a request.
 ///
-/// Two nodes' knowledge is joined by taking the later of each moment, so that the
-/// order in which news arrives makes no difference.
+/// The evidence of two nodes is merged by taking the later of each pair of times, so that the
+/// result doesn't depend on the order in which reports arrive.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evidence {
     crashes: BTreeMap<InstanceId, Moment>,
@@ -80,7 +84,8 @@
 }
 
 impl Evidence {
-    /// It was aboard when `server` crashed at `at`. True if that is news.
+    /// Records that `server` crashed at `at` while the content was running there. Returns true if
+    /// that crash was not known.
     pub fn note_crash(&mut self, server: &InstanceId, at: Moment) -> bool {
         match self.crashes.get_mut(server) {
             Some(known) => {
@@ -94,22 +99,22 @@
         }
     }
 
-    /// A server ran it well at `at`.
+    /// Records that a server ran the content successfully at `at`.
     pub fn note_served(&mut self, at: Moment) {
         self.served = self.served.max(Some(at));
     }
 
-    /// The servers that crashed with it aboard, each with the moment.
+    /// Returns the servers that crashed while running the content, each with the time of its crash.
     pub fn crashes(&self) -> impl Iterator<Item = (&InstanceId, Moment)> {
         self.crashes.iter().map(|(server, at)| (server, *at))
     }
 
-    /// When a server last ran it well, if that is known.
+    /// Returns when a server last ran the content successfully, if that is known.
     pub fn served(&self) -> Option<Moment> {
         self.served
     }
 
-    /// The crashes that no good run speaks against.
+    /// Returns the crashes that no successful run clears the content of.
     pub fn counted(&self) -> impl Iterator<Item = (&InstanceId, Moment)> {
         let covered = self.served.map(|served| served.plus(GOOD_RUN_COVERS));
         self.crashes()
@@ -117,61 +122,62 @@
     }
 }
 
-/// All that is known of a content.
+/// Evidence about one content, by calling service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Suspicion {
     by_caller: BTreeMap<ServiceName, Evidence>,
 }
 
 impl Suspicion {
-    /// What is known of it for requests of `caller`'s machines.
+    /// Returns the evidence from requests of `caller`, created empty if there is none.
     pub fn evidence_mut(&mut self, caller: &ServiceName) -> &mut Evidence {
         self.by_caller.entry(caller.clone()).or_default()
     }
 
-    /// What is known of it, by caller.
+    /// Returns the evidence for each calling service.
     pub fn evidence(&self) -> impl Iterator<Item = (&ServiceName, &Evidence)> {
         self.by_caller.iter()
     }
 
-    /// The servers whose crashes speak against it, whoever called.
+    /// Returns the servers whose crashes count against the content, for all callers.
     pub fn servers(&self) -> BTreeSet<&InstanceId> {
         self.counted().map(|(server, _)| server).collect()
     }
 
-    /// The servers whose crashes under requests of `caller`'s machines speak against it.
+    /// Returns the servers whose crashes during requests of `caller` count against the content.
     pub fn servers_of(&self, caller: &ServiceName) -> BTreeSet<&InstanceId> {
         let evidence = self.by_caller.get(caller).into_iter();
         let counted = evidence.flat_map(Evidence::counted);
         counted.map(|(server, _)| server).collect()
     }
 
-    /// Whether it is known to have run well, whoever called.
+    /// Returns whether the content is known to have run successfully for any caller.
     pub fn has_run_well(&self) -> bool {
         let mut served = self.by_caller.values().filter_map(Evidence::served);
         served.next().is_some()
     }
 
-    /// Whether requests of any caller are proven to crash servers.
+    /// Returns whether the content is proven to crash servers for at least one caller.
     pub fn is_proven(&self) -> bool {
         self.most_servers() >= PROOF && !self.proven_callers().is_empty()
     }
 
-    /// Whether it may be the cause of crashes with other contents aboard: it crashed several
-    /// servers and never ran well for anybody.
+    /// Returns whether the content may have caused crashes that count against other contents:
+    /// several servers crashed while running it, and it never ran successfully for any caller.
     pub fn explains_others(&self) -> bool {
         self.most_servers() >= EXPLAINING
             && !self.has_run_well()
             && self.servers().len() >= EXPLAINING
     }
 
-    /// No more servers than these crashed with it aboard. Costs less than to look which.
+    /// Returns an upper bound for the number of servers that crashed while running the content.
+    /// Cheaper to compute than the set of these servers.
     fn most_servers(&self) -> usize {
         let callers = self.by_caller.values();
         callers.map(|evidence| evidence.crashes.len()).sum()
     }
 
-    /// The callers whose requests are proven to crash servers.
+    /// Returns the callers for which the content is proven to crash servers.
     pub fn proven_callers(&self) -> Vec<&ServiceName> {
         let callers = self.by_caller.keys();
         callers
@@ -179,8 +185,8 @@
             .collect()
     }
 
-    /// How long it is still blocked for requests of `caller`'s machines; zero once it may be
-    /// tried, and none if it isn't proven. `is_doubtful` if other contents may be the cause.
+    /// Returns how much longer the content is blocked for `caller`: zero once a trial may run, and
+    /// `None` if it isn't proven. `is_doubtful` tells whether other contents may be the cause.
     pub fn blocked_for(
         &self,
         caller: &ServiceName,
@@ -192,14 +198,14 @@
         Some(last.left_of(block_length(&crashes, is_doubtful), now))
     }
 
-    /// The time since the last of the crashes that prove it for requests of `caller`'s
-    /// machines; none if it isn't proven.
+    /// Returns the time since the last of the crashes that prove that the content crashes servers
+    /// for `caller`; `None` if it isn't proven.
     pub fn proven_for(&self, caller: &ServiceName, now: Timestamp) -> Option<Duration> {
         let crashes = self.proof(caller)?;
         Some(crashes.last()?.age(now))
     }
 
-    /// Whether it can be forgotten.
+    /// Returns whether the evidence is old enough to be forgotten.
     pub fn is_over(&self, now: Timestamp) -> bool {
         let proofs = self
             .by_caller
@@ -212,10 +218,10 @@
         last.is_none_or(|last| last.age(now) > kept)
     }
 
-    /// The crashes that prove that it crashes servers when `caller`'s machines ask for it,
-    /// oldest first. Those of all callers count together if they are of two at least, so that
-    /// the caller can't be what matters, and it ran well for none meanwhile. Otherwise the machines
-    /// of each service cost as many crashes again.
+    /// Returns the crashes that prove that the content crashes servers when `caller` requests it,
+    /// oldest first. The crashes of all callers count together if there are at least two callers
+    /// with crashes, so that the cause can't lie in the caller, and the content ran successfully
+    /// for none of them meanwhile. Otherwise each service would need its own [`PROOF`] crashes.
     fn proof(&self, caller: &ServiceName) -> Option<Vec<Moment>> {
         if self.is_proven_for_all() {
             let together: BTreeMap<_, _> = self.counted().collect();
@@ -256,8 +262,8 @@
     }
 }
 
-/// The times at which a content crashed servers after it had been proven by the first of
-/// these crashes, which are in order.
+/// Counts the admissions after which a content crashed servers again although the first of
+/// `crashes` had proven it. `crashes` must be sorted.
 fn trials(crashes: &[Moment]) -> usize {
     let pairs = crashes.windows(2).skip(PROOF - 1);
     pairs
--- a/crates/coordination/tests/mesh_poison_chance.rs
+++ b/crates/coordination/tests/mesh_poison_chance.rs
@@ -1,8 +1,8 @@
-//! How often a request that harms nobody is blocked, and how many servers one that crashes them
-//! ends, by the rate at which servers crash for other causes and by what runs side by side.
+//! Measures how often harmless requests are blocked and how many servers a poison request crashes,
+//! by the rate at which servers crash for other reasons and by the number of concurrent runs.
 //!
-//! One service of eight servers, one node's knowledge for all (news spreads within milliseconds).
-//! `cargo test -p lifthollow-coordination --test mesh_poison_chance -- --nocapture` prints the table
+//! Simulates one service of eight servers. All nodes share one set of evidence, because reports
+//! spread within milliseconds. `cargo test -p lifthollow-coordination --test mesh_poison_chance -- --nocapture` prints the table
 //! that `docs/design/poison-requests.md` shows.
 
 use std::time::Duration;
@@ -20,17 +20,19 @@
 const SERVERS: usize = 8;
 const STEP: Duration = Duration::from_millis(10);
 const LENGTH: Duration = Duration::from_secs(600);
-/// How long a run takes.
+/// Duration of a run of a harmless request.
 const RUN_TIME: Duration = Duration::from_millis(500);
-/// How long a request that crashes its server runs.
+/// Time from the start of a poison request to the crash of its server.
 const POISON_TIME: Duration = Duration::from_millis(40);
-/// How long a crashed server is away.
+/// Time from the crash of a server until its replacement accepts requests.
 const DOWN_FOR: Duration = Duration::from_secs(3);
-/// A request that was lost is sent again so often, by its caller's node and by its caller.
+/// Maximum number of attempts for a harmless request that is lost in a crash, counting those by its
+/// caller's node and by its caller.
 const TRIES: u32 = 4;
-/// Half of the requests are for one of so many contents, the others for one of their own.
+/// Number of frequent contents, which half of the requests share; each other request has a content
+/// of its own.
 const HOT_CONTENTS: u128 = 20;
-/// Time between two of the request that crashes servers.
+/// Interval at which the poison request is sent.
 const POISON_PAUSE: Duration = Duration::from_millis(100);
 const POISON: u128 = u128::MAX;
 
@@ -159,7 +161,7 @@
     fn step(&mut self) {
         self.now = self.now + STEP;
         for (content, tries) in std::mem::take(&mut self.lost) {
-            // A request that crashes servers is sent again by us once, and comes again anyway.
+            // The poison request is retried once; it is sent anew at a fixed interval anyway.
             let most = if content == POISON { 2 } else { TRIES };
             if tries < most {
                 self.send(content, tries);
@@ -180,14 +182,16 @@
     }
 }
 
-/// What a play shows: the share of requests refused though they harm nobody, and crashes.
+/// Result of a simulation: the share of harmless requests that were refused, of all requests, and
+/// the number of crashes.
 struct Played {
     refused: f64,
     crashes: u64,
 }
 
-/// Plays ten minutes with about `side_by_side` runs on each server, of which each crashes so
-/// often in a minute for other causes; all at once twice if `power_losses`.
+/// Simulates ten minutes with about `side_by_side` concurrent runs on each server. Each server
+/// crashes `crashes_a_minute` times a minute on average for other reasons than the poison request,
+/// and all servers crash at once twice if `power_losses`.
 fn play(
     seed: u64,
     side_by_side: f64,
@@ -241,14 +245,18 @@
                 "{side_by_side} | {crashes} | {power_losses} | {:.1e} | {:.1e} | {by_it}",
                 alone.refused, beside.refused
             );
-            assert!(alone.refused <= 1e-3, "{} refused", alone.refused);
+            assert!(
+                alone.refused <= 1e-3,
+                "{} of harmless requests refused",
+                alone.refused
+            );
             assert!(
                 beside.refused <= 1e-2,
-                "{} refused beside one that crashes servers",
+                "{} of harmless requests refused beside the poison request",
                 beside.refused
             );
             if crashes == 0.0 {
-                assert!(by_it <= 8, "{by_it} servers ended");
+                assert!(by_it <= 8, "the poison request crashed {by_it} servers");
             }
         }
     }
--- a/crates/coordination/tests/mesh_poison_runs.rs
+++ b/crates/coordination/tests/mesh_poison_runs.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same to a server, and what was at a server when it crashed.
+//! Tests of content fingerprints and of the requests that are suspected after a server crash.
 
 use std::time::Duration;
 
@@ -58,7 +58,7 @@
             body_length: None,
             ..request()
         },
-        // The parts are told apart, too.
+        // The same bytes, split differently between method and host.
         RequestContent {
             method: "GETshop",
             host: ".example",
--- a/crates/coordination/tests/mesh_poison_suspects.rs
+++ b/crates/coordination/tests/mesh_poison_suspects.rs
@@ -1,4 +1,5 @@
-//! What follows from crashes and good runs, and how nodes join what they know.
+//! Tests of the blocks that follow from crashes and successful runs, and of merging the evidence
+//! of several nodes.
 
 use std::time::Duration;
 
@@ -15,7 +16,7 @@
     Timestamp::from_micros((seconds * 1e6) as u64)
 }
 
-/// Content `number` from machines of `caller`.
+/// Returns content `number` as requested by the service `caller`.
 fn request_of(number: u128, caller: &str) -> CallerContent {
     CallerContent {
         content: ContentFingerprint(number),
@@ -27,7 +28,7 @@
     request_of(number, "feeds")
 }
 
-/// The request that most tests are about.
+/// Returns the request that crashes servers in most tests.
 fn poison() -> CallerContent {
     request(7)
 }
@@ -36,7 +37,8 @@
     InstanceId::new(&format!("server-{number}"))
 }
 
-/// A node that saw `count` crashes with [`poison`] aboard, a second apart.
+/// Returns the evidence of a node after `count` crashes, a second apart, while servers ran
+/// [`poison`].
 fn after_crashes(count: u32) -> Suspects {
     let mut suspects = Suspects::default();
     for number in 0..count {
@@ -80,8 +82,9 @@
     assert_eq!(served_before_crash(10.1), 1);
 }
 
-/// While a request crashes all servers as soon as they are back, whatever else is asked often
-/// is aboard of the crashes, and nothing runs well. It ran well a few seconds before.
+/// While a request crashes all servers as soon as they are back, other frequent requests are running
+/// during the crashes, too, and nothing runs successfully. The frequent request of this test ran
+/// successfully a few seconds before.
 #[test]
 fn what_ran_well_before_an_outbreak_is_not_blocked_with_its_cause() {
     let mut suspects = Suspects::default();
@@ -98,7 +101,7 @@
     assert_eq!(suspects.verdict(at(25.0), &hot), Verdict::Admitted);
 }
 
-/// The outbreak begins before either has run well.
+/// The crashes begin before either of the two contents has run successfully.
 #[test]
 fn what_runs_well_for_other_callers_is_admitted_if_another_content_explains_its_crashes() {
     let hot = request(8);
@@ -107,7 +110,7 @@
         let aboard = [poison(), hot.clone()];
         suspects.note_crash(at(f64::from(crash) * 0.1), &aboard, &server(crash));
     }
-    // Nothing tells them apart yet.
+    // Up to here there is the same evidence against both contents.
     assert!(matches!(
         suspects.verdict(at(0.3), &hot),
         Verdict::Blocked(_)
@@ -118,7 +121,7 @@
         suspects.verdict(at(3.0), &poison()),
         Verdict::Blocked(_)
     ));
-    // Crashes of its own are not explained: as many as prove it.
+    // Crashes without the other content are not explained by it; three of them are a proof.
     for crash in 0..3 {
         assert_eq!(suspects.verdict(at(4.0), &hot), Verdict::Admitted);
         suspects.note_crash(at(4.0), std::slice::from_ref(&hot), &server(9 + crash));
@@ -129,9 +132,9 @@
     ));
 }
 
-/// A hot request ran well for one service's machines and was blocked for 30 s for another's:
-/// two of its crashes were those of known causes, and one server had crashed for a cause of its
-/// own, with nothing else aboard that never ran well.
+/// Guards against a wrong block: a frequent request ran successfully for one service and was blocked
+/// for 30 s for another. Two of the crashes had known causes, and one server had crashed for an
+/// unrelated reason, while it ran no other content that had never run successfully.
 #[test]
 fn crashes_that_a_cause_explains_and_one_of_another_kind_are_no_proof() {
     let hot = request(8);
@@ -153,7 +156,7 @@
         Verdict::Blocked(Duration::from_millis(100))
     );
     assert_eq!(suspects.verdict(at(32.0), &poison()), Verdict::OnTrial);
-    // Copies that were under way don't make it longer.
+    // Crashes by copies that were in flight when the content was proven don't extend the block.
     suspects.note_crash(at(2.5), &[poison()], &server(9));
     assert_eq!(suspects.verdict(at(32.5), &poison()), Verdict::OnTrial);
     suspects.note_crash(at(33.0), &[poison()], &server(10));
@@ -187,8 +190,8 @@
     assert!(suspects.begin_trial(at(42.0), &poison().content));
 }
 
-/// Two contents were tried at one server at the same moment: it crashed under the one, and the
-/// other, which harms nobody, was blocked for five minutes with it.
+/// Guards against simultaneous trials: if two contents are tried on one server at the same time and
+/// one crashes it, the other, which is harmless, is blocked for five minutes as well.
 #[test]
 fn contents_are_tried_one_after_the_other() {
     let mut suspects = after_crashes(3);
@@ -196,16 +199,17 @@
     assert!(suspects.begin_trial(at(40.0), &poison().content));
     assert!(!suspects.begin_trial(at(41.9), &hot.content));
     assert!(suspects.begin_trial(at(42.0), &hot.content));
-    // What was served before it began doesn't end it.
+    // A successful run before the trial began doesn't end the trial.
     suspects.note_served(at(41.0), &hot);
     assert!(!suspects.begin_trial(at(42.1), &poison().content));
     suspects.note_served(at(42.2), &hot);
     assert!(suspects.begin_trial(at(42.2), &poison().content));
 }
 
-/// An outbreak of two causes began before a hot request had run well anywhere. It was aboard of
-/// the first three crashes, each with one of the causes, and was blocked for all callers for 30 s,
-/// as only a good run could tell it from the causes.
+/// Guards against a long wrong block: two contents began to crash servers before a frequent request
+/// had run successfully anywhere. The request was running during the first three crashes, each time
+/// beside one of the causes, and was blocked for all callers for 30 s, as only a successful run
+/// could distinguish it from the causes.
 #[test]
 fn what_others_may_have_caused_is_tried_soon_and_once() {
     let (hot, second) = (request(8), request(9));
@@ -229,7 +233,7 @@
     assert_eq!(suspects.verdict(at(14.1), &hot), Verdict::Admitted);
 }
 
-/// A good run of the other leaves no doubt of the cause.
+/// A successful run of the other content shows that it is not the cause.
 #[test]
 fn a_cause_that_nothing_explains_any_more_is_blocked_as_long_as_ever() {
     let hot = request(8);
@@ -245,7 +249,7 @@
     assert_eq!(suspects.verdict(at(3.0), &poison()), certain);
 }
 
-/// Other requests that were aboard of one crash each are no other causes.
+/// Other requests that were running during one crash each don't count as possible causes.
 #[test]
 fn what_nothing_else_may_have_caused_is_not_tried_sooner() {
     let mut suspects = Suspects::default();
@@ -320,8 +324,8 @@
     }
 }
 
-/// Two such requests and a failure of another kind crash servers by turns, so that no single
-/// content was aboard of all the crashes that speak against a hot one.
+/// Two contents and an unrelated failure crash servers in turns, so that no single content was
+/// running during all crashes that count against a frequent one.
 #[test]
 fn crashes_that_several_contents_explain_together_are_no_proof() {
     let hot = request_of(8, "creator");
@@ -333,7 +337,7 @@
         let aboard = [cause, hot.clone()];
         suspects.note_crash(at(f64::from(number) * 0.1), &aboard, &server(number));
     }
-    // No cause that is known.
+    // A crash without a known cause.
     suspects.note_crash(at(0.5), &[hot.clone(), request(100)], &server(4));
     suspects.note_served(at(0.5), &request_of(8, "feeds"));
     assert_eq!(suspects.verdict(at(0.6), &hot), Verdict::Admitted);
@@ -345,7 +349,7 @@
     ));
 }
 
-/// What is asked once and was aboard of one crash explains nothing.
+/// A content that was requested once, and was running during one crash, explains no crash.
 #[test]
 fn contents_that_were_aboard_of_one_crash_each_explain_nothing() {
     let by_caller = request_of(8, "creator");
@@ -359,7 +363,7 @@
     assert!(matches!(verdict, Verdict::Blocked(_)), "{verdict:?}");
 }
 
-/// The crash is known here some milliseconds before good runs at other nodes are.
+/// A node may learn of a crash some milliseconds before it learns of successful runs at other nodes.
 #[test]
 fn a_proof_settles_before_requests_are_refused_for_it() {
     let suspects = after_crashes(3);
@@ -390,7 +394,7 @@
     let mut suspects = after_crashes(5);
     let other = request_of(7, "media");
     assert_eq!(suspects.verdict(at(5.0), &other), Verdict::Admitted);
-    // One that ran well was aboard of a crash by chance.
+    // The other caller's request was running during a crash by chance and runs successfully.
     suspects.note_crash(at(6.0), std::slice::from_ref(&other), &server(9));
     suspects.note_served(at(6.5), &other);
     assert_eq!(suspects.verdict(at(6.5), &other), Verdict::Admitted);
@@ -400,7 +404,7 @@
     ));
 }
 
-/// Otherwise nodes that know of different crashes would not ask each other.
+/// If they had the same digest, nodes that know of different crashes would not exchange reports.
 #[test]
 fn crashes_of_two_starts_of_a_server_are_told_apart() {
     let after = |started_ms: u64| {
@@ -412,8 +416,8 @@
     assert_ne!(after(1).digest(), after(2).digest());
 }
 
-/// The moment when what a node knows is told, on its own clock, and on that of who asks:
-/// the question, and the time that it and the answer take.
+/// Exchange of reports from one node to the next: the time on the asking node's clock when it sends
+/// the request, in milliseconds, and the time that the request and the response take.
 #[derive(Clone, Debug)]
 struct Hop {
     clock_offset: u32,
@@ -432,10 +436,10 @@
 }
 
 quickcheck! {
-    /// Whatever waited where, a block that is passed on does not grow longer, also by nodes
-    /// that started after the crashes.
+    /// A block doesn't grow longer when it is passed from node to node, whatever the delays are, also
+    /// if the nodes started after the crashes.
     fn a_block_does_not_last_longer_for_being_passed_on(hops: Vec<Hop>) -> bool {
-        // The time since the third crash, and the clock of the node that tells.
+        // `elapsed` is the time since the third crash; `clock` is the reporting node's clock.
         let mut elapsed = Duration::ZERO;
         let mut clock = at(2.0);
         let mut knows = after_crashes(3);
@@ -459,8 +463,8 @@
         }
     }
 
-    /// Nodes that saw different things know the same once they have asked each other,
-    /// in whatever order.
+    /// Nodes that observed different crashes and runs have the same evidence after they have fetched
+    /// each other's reports, in whatever order.
     fn nodes_that_ask_each_other_end_with_the_same(events: Vec<(u8, u8, u8, bool)>, first: bool) -> bool {
         let mut nodes = [Suspects::default(), Suspects::default()];
         for (index, (node, content, by, is_served)) in events.iter().enumerate() {
