--- a/crates/coordination/src/mesh/poison/recent_contents.rs
+++ b/crates/coordination/src/mesh/poison/recent_contents.rs
@@ -6,41 +6,43 @@
 use lifthollow_state::{ServiceName, Timestamp};
 
 use crate::mesh::poison::content::{CallerContent, ContentFingerprint};
-use crate::mesh::poison::suspicion::GOOD_RUN_COVERS;
+use crate::mesh::poison::suspicion::SUCCESS_CLEARS_CRASHES_FOR;
 
 /// Minimum time for which a content is remembered; the maximum is twice as long.
-const REMEMBERED: Duration = GOOD_RUN_COVERS;
+const MIN_RETENTION: Duration = SUCCESS_CLEARS_CRASHES_FOR;
 /// Maximum number of contents remembered per generation. One takes an estimated 150 bytes with
 /// one caller: 1.2 MiB in both generations. If a server runs more different contents, the frequent
 /// ones are among the first and are remembered.
-const MAX_CONTENTS: usize = 4096;
+const MAX_CONTENTS_PER_GENERATION: usize = 4096;
 
 /// Time of the last successful run of a content, by calling service.
-type Served = HashMap<ServiceName, Timestamp>;
+type LastRunByCaller = HashMap<ServiceName, Timestamp>;
 
 /// Contents that ran successfully and the time of the last such run, in two generations.
 #[derive(Clone, Debug, Default)]
 pub struct RecentContents {
-    newer: HashMap<ContentFingerprint, Served>,
-    older: HashMap<ContentFingerprint, Served>,
+    newer: HashMap<ContentFingerprint, LastRunByCaller>,
+    older: HashMap<ContentFingerprint, LastRunByCaller>,
     newer_since: Timestamp,
 }
 
 impl RecentContents {
     /// Records that a server ran `content` successfully at `now`.
     pub fn note(&mut self, now: Timestamp, content: CallerContent) {
-        self.turn(now);
-        if self.newer.len() < MAX_CONTENTS || self.newer.contains_key(&content.content) {
-            let served = self.newer.entry(content.content).or_default();
-            served.insert(content.caller, now);
+        self.rotate_generations(now);
+        if self.newer.len() < MAX_CONTENTS_PER_GENERATION
+            || self.newer.contains_key(&content.content)
+        {
+            let by_caller = self.newer.entry(content.content).or_default();
+            by_caller.insert(content.caller, now);
         }
     }
 
     /// Returns when a server last ran `content` successfully, if that is still remembered.
     pub fn last(&mut self, now: Timestamp, content: &CallerContent) -> Option<Timestamp> {
-        self.turn(now);
-        let last_of = |served: &HashMap<_, Served>| {
-            let by_caller: &Served = served.get(&content.content)?;
+        self.rotate_generations(now);
+        let last_of = |generation: &HashMap<_, LastRunByCaller>| {
+            let by_caller: &LastRunByCaller = generation.get(&content.content)?;
             by_caller.get(&content.caller).copied()
         };
         last_of(&self.newer).or_else(|| last_of(&self.older))
@@ -52,26 +54,27 @@
         now: Timestamp,
         content: ContentFingerprint,
     ) -> Vec<(CallerContent, Timestamp)> {
-        self.turn(now);
-        let spans = [&self.older, &self.newer].into_iter();
+        self.rotate_generations(now);
+        let generations = [&self.older, &self.newer].into_iter();
         // The newer generation comes last and overwrites entries of the older one.
-        let served = spans.flat_map(|span| span.get(&content).into_iter().flatten());
-        let by_caller: BTreeMap<_, _> = served.collect();
-        let known = by_caller.into_iter().map(|(caller, at)| {
+        let runs =
+            generations.flat_map(|generation| generation.get(&content).into_iter().flatten());
+        let by_caller: BTreeMap<_, _> = runs.collect();
+        let with_caller = by_caller.into_iter().map(|(caller, at)| {
             let caller = caller.clone();
             (CallerContent { content, caller }, *at)
         });
-        known.collect()
+        with_caller.collect()
     }
 
-    fn turn(&mut self, now: Timestamp) {
-        let passed = now.saturating_since(self.newer_since);
-        if passed < REMEMBERED {
+    fn rotate_generations(&mut self, now: Timestamp) {
+        let elapsed = now.saturating_since(self.newer_since);
+        if elapsed < MIN_RETENTION {
             return;
         }
         std::mem::swap(&mut self.newer, &mut self.older);
         self.newer.clear();
-        if passed >= REMEMBERED * 2 {
+        if elapsed >= MIN_RETENTION * 2 {
             self.older.clear();
         }
         self.newer_since = now;
--- a/crates/coordination/src/mesh/poison/server_runs.rs
+++ b/crates/coordination/src/mesh/poison/server_runs.rs
@@ -12,7 +12,7 @@
 /// Time after its end for which a run without a successful response is suspected if the server
 /// crashes. A server may break off a response, or lose its caller, and still crash because of that
 /// run: in recorded days 115 ms after the run's start, or 35 to 59 ms.
-const AFTERMATH: Duration = Duration::from_secs(1);
+const SUSPECT_AFTER_END: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Debug)]
 struct Run {
@@ -26,7 +26,7 @@
 pub struct ServerRuns {
     running: HashMap<InboundId, Run>,
     /// Runs that ended without a successful response, with the time of their end; oldest first.
-    unserved: VecDeque<(Timestamp, Run)>,
+    ended_unserved: VecDeque<(Timestamp, Run)>,
 }
 
 impl ServerRuns {
@@ -53,7 +53,7 @@
         self.forget_old(now);
         let content = run.content.clone();
         if !is_served {
-            self.unserved.push_back((now, run));
+            self.ended_unserved.push_back((now, run));
         }
         Some(content)
     }
@@ -63,24 +63,26 @@
     pub fn crashed(&mut self, now: Timestamp, server: &InstanceId) -> Vec<CallerContent> {
         self.forget_old(now);
         let running = self.running.values();
-        let unserved = self.unserved.iter().map(|(_, run)| run);
-        let aboard = running.chain(unserved).filter(|run| run.server == *server);
-        let contents: HashSet<_> = aboard.map(|run| run.content.clone()).collect();
+        let ended_unserved = self.ended_unserved.iter().map(|(_, run)| run);
+        let suspected = running
+            .chain(ended_unserved)
+            .filter(|run| run.server == *server);
+        let contents: HashSet<_> = suspected.map(|run| run.content.clone()).collect();
         self.running.retain(|_, run| run.server != *server);
-        self.unserved.retain(|(_, run)| run.server != *server);
+        self.ended_unserved.retain(|(_, run)| run.server != *server);
         let mut contents: Vec<_> = contents.into_iter().collect();
         contents.sort_unstable();
         contents
     }
 
     fn forget_old(&mut self, now: Timestamp) {
-        let is_old = |ended: &Timestamp| now.saturating_since(*ended) > AFTERMATH;
+        let is_old = |ended: &Timestamp| now.saturating_since(*ended) > SUSPECT_AFTER_END;
         while self
-            .unserved
+            .ended_unserved
             .front()
             .is_some_and(|(ended, _)| is_old(ended))
         {
-            self.unserved.pop_front();
+            self.ended_unserved.pop_front();
         }
     }
 }
--- a/crates/coordination/src/mesh/poison/suspects.rs
+++ b/crates/coordination/src/mesh/poison/suspects.rs
@@ -15,7 +15,7 @@
 use xxhash_rust::xxh3::Xxh3Default;
 
 use crate::mesh::poison::content::{CallerContent, ContentFingerprint};
-use crate::mesh::poison::suspicion::{Evidence, Moment, PROOF, Suspicion};
+use crate::mesh::poison::suspicion::{Evidence, PROOF, SignedTimestamp, Suspicion};
 
 /// Maximum number of contents kept, about 200 bytes each. Above it, the contents with the fewest
 /// crashes are dropped first.
@@ -58,14 +58,14 @@
 struct Suspect {
     suspicion: Suspicion,
     /// Callers for which the content was blocked at the last call of [`Suspects::take_changes`].
-    told_blocked: Vec<ServiceName>,
+    reported_blocked_callers: Vec<ServiceName>,
 }
 
 /// Run of a blocked content that shows whether it still crashes servers.
 #[derive(Clone, Debug)]
 struct Trial {
     content: ContentFingerprint,
-    began: Timestamp,
+    started_at: Timestamp,
 }
 
 /// All evidence that a node has about contents that may crash servers.
@@ -74,47 +74,49 @@
     suspects: HashMap<ContentFingerprint, Suspect>,
     /// Proven contents whose crashes other contents may have caused. Cached, because computing it
     /// goes through all suspects and refusing a request must be cheap.
-    doubtful: HashSet<ContentFingerprint>,
+    ambiguous: HashSet<ContentFingerprint>,
     /// Last trial on the server beside this node, unless it ran successfully.
     trial: Option<Trial>,
     digest: u64,
 }
 
 impl Suspects {
-    /// Records that `server` crashed while running `aboard`. Returns true if the crash
+    /// Records that `server` crashed while running `contents`. Returns true if the crash
     /// was not known for at least one of them.
     pub fn note_crash(
         &mut self,
         now: Timestamp,
-        aboard: &[CallerContent],
+        contents: &[CallerContent],
         server: &InstanceId,
     ) -> bool {
-        let at = Moment::before(now, Duration::ZERO);
+        let at = SignedTimestamp::before(now, Duration::ZERO);
         let mut is_new = false;
-        for CallerContent { content, caller } in aboard {
+        for CallerContent { content, caller } in contents {
             let suspect = self.suspects.entry(*content).or_default();
             let evidence = suspect.suspicion.evidence_mut(caller);
-            is_new |= evidence.note_crash(server, at);
+            is_new |= evidence.record_crash(server, at);
         }
-        self.bound(now);
+        self.drop_expired_and_surplus(now);
         is_new
     }
 
     /// Records that a server ran `request` successfully at `at`.
     pub fn note_served(&mut self, at: Timestamp, request: &CallerContent) {
-        self.end_trial(at, &request.content);
+        self.end_successful_trial(at, &request.content);
         let Some(suspect) = self.suspects.get_mut(&request.content) else {
             return;
         };
-        let at = Moment::before(at, Duration::ZERO);
+        let at = SignedTimestamp::before(at, Duration::ZERO);
         let suspicion = &mut suspect.suspicion;
-        let before = digest(&request.content, suspicion);
-        let had_run_well = suspicion.has_run_well();
-        suspicion.evidence_mut(&request.caller).note_served(at);
-        let after = digest(&request.content, suspicion);
+        let before = content_digest(&request.content, suspicion);
+        let had_run_successfully = suspicion.has_run_successfully();
+        suspicion
+            .evidence_mut(&request.caller)
+            .record_successful_run(at);
+        let after = content_digest(&request.content, suspicion);
         self.digest = self.digest.wrapping_sub(before).wrapping_add(after);
-        if after != before || !had_run_well {
-            self.doubtful = self.find_doubtful();
+        if after != before || !had_run_successfully {
+            self.ambiguous = self.find_ambiguous_contents();
         }
     }
 
@@ -122,7 +124,7 @@
     pub fn verdict(&self, now: Timestamp, request: &CallerContent) -> Verdict {
         match self.blocked_for(now, request) {
             None => Verdict::Admitted,
-            Some(_) if self.is_explained(request) => Verdict::Admitted,
+            Some(_) if self.is_explained_by_other_contents(request) => Verdict::Admitted,
             Some(Duration::ZERO) => Verdict::OnTrial,
             Some(left) => Verdict::Blocked(left),
         }
@@ -132,8 +134,8 @@
     /// zero once a trial may run, and `None` if it isn't proven to crash servers.
     fn blocked_for(&self, now: Timestamp, request: &CallerContent) -> Option<Duration> {
         let suspicion = &self.suspects.get(&request.content)?.suspicion;
-        let is_doubtful = self.doubtful.contains(&request.content);
-        suspicion.blocked_for(&request.caller, now, is_doubtful)
+        let is_ambiguous = self.ambiguous.contains(&request.content);
+        suspicion.blocked_for(&request.caller, now, is_ambiguous)
     }
 
     /// Returns whether other contents explain so many of the crashes that count against `request`
@@ -142,15 +144,18 @@
     /// Without this check, a frequent content is blocked along with the causes of a series of
     /// crashes that begins before it has run successfully. A single unexplained crash proves nothing
     /// either, as servers crash for other reasons too.
-    fn is_explained(&self, request: &CallerContent) -> bool {
+    fn is_explained_by_other_contents(&self, request: &CallerContent) -> bool {
         let Some(suspect) = self.suspects.get(&request.content) else {
             return false;
         };
-        if !suspect.suspicion.has_run_well() {
+        if !suspect.suspicion.has_run_successfully() {
             return false;
         }
         let causes = self.possible_causes();
-        let crashed = suspect.suspicion.servers_of(&request.caller).into_iter();
+        let crashed = suspect
+            .suspicion
+            .servers_for_caller(&request.caller)
+            .into_iter();
         crashed
             .filter(|server| !causes.contains_key(server))
             .count()
@@ -161,7 +166,7 @@
     /// contents that other servers crashed with too and that never ran successfully for any caller.
     fn possible_causes(&self) -> HashMap<&InstanceId, usize> {
         let suspicions = self.suspects.values().map(|suspect| &suspect.suspicion);
-        let explaining = suspicions.filter(|suspicion| suspicion.explains_others());
+        let explaining = suspicions.filter(|suspicion| suspicion.may_explain_other_crashes());
         let mut causes = HashMap::new();
         for server in explaining.flat_map(Suspicion::servers) {
             *causes.entry(server).or_default() += 1;
@@ -173,9 +178,9 @@
     /// [`SETTLING`]; zero if there is no proof or it is old enough.
     pub fn settles_in(&self, now: Timestamp, request: &CallerContent) -> Duration {
         let suspect = self.suspects.get(&request.content);
-        let proven_for =
-            suspect.and_then(|suspect| suspect.suspicion.proven_for(&request.caller, now));
-        proven_for.map_or(Duration::ZERO, |age| SETTLING.saturating_sub(age))
+        let time_since_proof =
+            suspect.and_then(|suspect| suspect.suspicion.time_since_proof(&request.caller, now));
+        time_since_proof.map_or(Duration::ZERO, |age| SETTLING.saturating_sub(age))
     }
 
     /// Returns the number of servers that crashed while running `content`, without crashes that a
@@ -189,21 +194,21 @@
     /// began less than [`TRIAL_PAUSE`] ago and hasn't ended successfully: a crash during both
     /// trials would count against both contents.
     pub fn begin_trial(&mut self, now: Timestamp, content: &ContentFingerprint) -> bool {
-        let is_recent = |trial: &Trial| now.saturating_since(trial.began) < TRIAL_PAUSE;
+        let is_recent = |trial: &Trial| now.saturating_since(trial.started_at) < TRIAL_PAUSE;
         if self.trial.as_ref().is_some_and(is_recent) {
             return false;
         }
         self.trial = Some(Trial {
             content: *content,
-            began: now,
+            started_at: now,
         });
         true
     }
 
     /// Ends the trial of `content` after a successful run at `at`, so that the next one may start.
-    fn end_trial(&mut self, at: Timestamp, content: &ContentFingerprint) {
+    fn end_successful_trial(&mut self, at: Timestamp, content: &ContentFingerprint) {
         self.trial
-            .take_if(|trial| trial.content == *content && at >= trial.began);
+            .take_if(|trial| trial.content == *content && at >= trial.started_at);
     }
 
     /// Returns a digest of the evidence, by which nodes detect that theirs differs; zero if there is
@@ -230,7 +235,7 @@
         let suspects = self.suspects.iter();
         let reports = suspects.flat_map(|(content, suspect)| {
             let evidence = suspect.suspicion.evidence();
-            evidence.map(|(caller, evidence)| report(now, *content, caller, evidence))
+            evidence.map(|(caller, evidence)| evidence_report(now, *content, caller, evidence))
         });
         SuspectReports {
             suspects: reports.collect(),
@@ -240,20 +245,21 @@
     /// Merges the reports with which another node answered a request sent at `asked`. Returns true
     /// if they contain a crash that was not known.
     pub fn join(&mut self, now: Timestamp, asked: Timestamp, reports: SuspectReports) -> bool {
-        let mut news = Vec::new();
+        let mut with_new_crashes = Vec::new();
         for report in reports.suspects {
             let content = ContentFingerprint(u128::from_be_bytes(report.content));
-            if self.join_one(asked, content, report) {
-                news.push(content);
+            if self.merge_report(asked, content, report) {
+                with_new_crashes.push(content);
             }
         }
-        self.bound(now);
+        self.drop_expired_and_surplus(now);
         // Evidence that has expired by now and was dropped again doesn't count as new.
-        news.iter()
+        with_new_crashes
+            .iter()
             .any(|content| self.suspects.contains_key(content))
     }
 
-    fn join_one(
+    fn merge_report(
         &mut self,
         asked: Timestamp,
         content: ContentFingerprint,
@@ -261,16 +267,16 @@
     ) -> bool {
         // Ages are counted back from when the request was sent, which can make evidence seem too
         // old, but never too recent.
-        let moment = |age_ms| Moment::before(asked, Duration::from_millis(age_ms));
+        let time_of_age = |age_ms| SignedTimestamp::before(asked, Duration::from_millis(age_ms));
         let caller = ServiceName::new(&report.caller);
         let known = self.suspects.entry(content).or_default();
         let known = known.suspicion.evidence_mut(&caller);
         let mut is_new = false;
         for crash in &report.crashes {
-            is_new |= known.note_crash(&crash.server, moment(crash.age_ms));
+            is_new |= known.record_crash(&crash.server, time_of_age(crash.age_ms));
         }
-        if let Some(served) = report.served_ms {
-            known.note_served(moment(served));
+        if let Some(served_age_ms) = report.served_ms {
+            known.record_successful_run(time_of_age(served_age_ms));
         }
         is_new
     }
@@ -278,15 +284,15 @@
     /// Drops expired evidence.
     pub fn forget_old(&mut self, now: Timestamp) {
         let before = self.suspects.len();
-        self.drop_over(now);
+        self.drop_expired(now);
         if self.suspects.len() != before {
-            self.refresh();
+            self.recompute_digest_and_ambiguous();
         }
     }
 
-    fn drop_over(&mut self, now: Timestamp) {
+    fn drop_expired(&mut self, now: Timestamp) {
         self.suspects
-            .retain(|_, suspect| !suspect.suspicion.is_over(now));
+            .retain(|_, suspect| !suspect.suspicion.is_expired(now));
     }
 
     /// Returns the contents whose blocked callers have changed since the last call.
@@ -294,24 +300,24 @@
         let mut changes = Vec::new();
         for content in self.suspects.keys().copied().collect::<Vec<_>>() {
             let blocked = self.blocked_callers(&content);
-            let is_doubtful = self.doubtful.contains(&content);
+            let is_ambiguous = self.ambiguous.contains(&content);
             let Some(suspect) = self.suspects.get_mut(&content) else {
                 continue;
             };
-            if suspect.told_blocked == blocked {
+            if suspect.reported_blocked_callers == blocked {
                 continue;
             }
             let suspicion = &suspect.suspicion;
             let times = blocked
                 .iter()
-                .filter_map(|caller| suspicion.blocked_for(caller, now, is_doubtful));
+                .filter_map(|caller| suspicion.blocked_for(caller, now, is_ambiguous));
             changes.push(Change {
                 content,
                 servers: suspicion.servers().into_iter().cloned().collect(),
                 blocked_for: times.max().unwrap_or_default(),
                 blocked_callers: blocked.clone(),
             });
-            suspect.told_blocked = blocked;
+            suspect.reported_blocked_callers = blocked;
         }
         changes
     }
@@ -324,16 +330,16 @@
             content: *content,
             caller: caller.clone(),
         });
-        let blocked = requests.filter(|request| !self.is_explained(request));
+        let blocked = requests.filter(|request| !self.is_explained_by_other_contents(request));
         blocked.map(|request| request.caller).collect()
     }
 
-    fn bound(&mut self, now: Timestamp) {
-        self.drop_over(now);
+    fn drop_expired_and_surplus(&mut self, now: Timestamp) {
+        self.drop_expired(now);
         if self.suspects.len() > MAX_SUSPECTS {
             self.drop_least_suspected();
         }
-        self.refresh();
+        self.recompute_digest_and_ambiguous();
     }
 
     fn drop_least_suspected(&mut self) {
@@ -355,16 +361,17 @@
     }
 
     /// Recomputes the digest and the cached set of ambiguous contents.
-    fn refresh(&mut self) {
+    fn recompute_digest_and_ambiguous(&mut self) {
         let suspects = self.suspects.iter();
-        let digests = suspects.map(|(content, suspect)| digest(content, &suspect.suspicion));
+        let digests =
+            suspects.map(|(content, suspect)| content_digest(content, &suspect.suspicion));
         self.digest = digests.fold(0, u64::wrapping_add);
-        self.doubtful = self.find_doubtful();
+        self.ambiguous = self.find_ambiguous_contents();
     }
 
     /// Returns the proven contents for which fewer than [`PROOF`] crashes remain without those that
     /// other contents may have caused. They may be the cause all the same.
-    fn find_doubtful(&self) -> HashSet<ContentFingerprint> {
+    fn find_ambiguous_contents(&self) -> HashSet<ContentFingerprint> {
         let suspects = self.suspects.iter();
         let proven = suspects.filter(|(_, suspect)| suspect.suspicion.is_proven());
         let proven: Vec<_> = proven.collect();
@@ -372,25 +379,25 @@
             return HashSet::new();
         }
         let causes = self.possible_causes();
-        let is_doubtful = |(_, suspect): &(&ContentFingerprint, &Suspect)| {
-            let own = usize::from(suspect.suspicion.explains_others());
+        let is_ambiguous = |(_, suspect): &(&ContentFingerprint, &Suspect)| {
+            let own = usize::from(suspect.suspicion.may_explain_other_crashes());
             let servers = suspect.suspicion.servers().into_iter();
             let other_causes = |server| causes.get(server).copied().unwrap_or_default() - own;
             servers.filter(|server| other_causes(*server) == 0).count() < PROOF
         };
-        let doubtful = proven.into_iter().filter(is_doubtful);
-        doubtful.map(|(content, _)| *content).collect()
+        let ambiguous = proven.into_iter().filter(is_ambiguous);
+        ambiguous.map(|(content, _)| *content).collect()
     }
 }
 
 /// Computes the digest of the evidence about one content. It doesn't include times, which differ
 /// slightly between nodes.
-fn digest(content: &ContentFingerprint, suspicion: &Suspicion) -> u64 {
+fn content_digest(content: &ContentFingerprint, suspicion: &Suspicion) -> u64 {
     let mut hasher = Xxh3Default::new();
     hasher.update(&content.0.to_be_bytes());
     for (caller, evidence) in suspicion.evidence() {
         hasher.update(caller.as_str().as_bytes());
-        hasher.update(&(evidence.counted().count() as u64).to_be_bytes());
+        hasher.update(&(evidence.counted_crashes().count() as u64).to_be_bytes());
         for (server, _) in evidence.crashes() {
             // Includes the start time, because a restarted server may crash again under the same ID.
             hasher.update(server.to_string().as_bytes());
@@ -399,13 +406,13 @@
     hasher.finish()
 }
 
-fn report(
+fn evidence_report(
     now: Timestamp,
     content: ContentFingerprint,
     caller: &ServiceName,
     evidence: &Evidence,
 ) -> SuspectReport {
-    let age_ms = |at: Moment| {
+    let age_ms = |at: SignedTimestamp| {
         let age = at.age(now);
         u64::try_from(age.as_micros().div_ceil(1000)).unwrap_or(u64::MAX)
     };
@@ -419,7 +426,7 @@
                 age_ms: age_ms(at),
             })
             .collect(),
-        served_ms: evidence.served().map(age_ms),
+        served_ms: evidence.last_successful_run().map(age_ms),
     }
 }
 
--- a/crates/coordination/tests/mesh_poison_chance.rs
+++ b/crates/coordination/tests/mesh_poison_chance.rs
@@ -18,22 +18,22 @@
 use rand_chacha::ChaCha8Rng;
 
 const SERVERS: usize = 8;
-const STEP: Duration = Duration::from_millis(10);
-const LENGTH: Duration = Duration::from_secs(600);
+const TIME_STEP: Duration = Duration::from_millis(10);
+const SIMULATED_TIME: Duration = Duration::from_secs(600);
 /// Duration of a run of a harmless request.
 const RUN_TIME: Duration = Duration::from_millis(500);
 /// Time from the start of a poison request to the crash of its server.
-const POISON_TIME: Duration = Duration::from_millis(40);
+const POISON_CRASH_DELAY: Duration = Duration::from_millis(40);
 /// Time from the crash of a server until its replacement accepts requests.
-const DOWN_FOR: Duration = Duration::from_secs(3);
+const RESTART_TIME: Duration = Duration::from_secs(3);
 /// Maximum number of attempts for a harmless request that is lost in a crash, counting those by its
 /// caller's node and by its caller.
-const TRIES: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 /// Number of frequent contents, which half of the requests share; each other request has a content
 /// of its own.
-const HOT_CONTENTS: u128 = 20;
+const FREQUENT_CONTENTS: u128 = 20;
 /// Interval at which the poison request is sent.
-const POISON_PAUSE: Duration = Duration::from_millis(100);
+const POISON_INTERVAL: Duration = Duration::from_millis(100);
 const POISON: u128 = u128::MAX;
 
 struct Run {
@@ -41,7 +41,7 @@
     content: u128,
     server: usize,
     ends: Timestamp,
-    tries: u32,
+    attempts: u32,
 }
 
 struct Server {
@@ -102,7 +102,7 @@
         }
     }
 
-    fn send(&mut self, content: u128, tries: u32) {
+    fn send(&mut self, content: u128, attempts: u32) {
         let verdict = self.suspects.verdict(self.now, &request(content));
         if verdict != Verdict::Admitted {
             self.refused += u64::from(content != POISON);
@@ -119,8 +119,8 @@
         let id = InboundId(self.sent);
         let target = &mut self.servers[server];
         target.runs.started(id, request(content), &target.id);
-        let takes = if content == POISON {
-            POISON_TIME
+        let run_time = if content == POISON {
+            POISON_CRASH_DELAY
         } else {
             RUN_TIME
         };
@@ -128,19 +128,19 @@
             id,
             content,
             server,
-            ends: self.now + takes,
-            tries,
+            ends: self.now + run_time,
+            attempts,
         });
     }
 
     fn crash(&mut self, server: usize) {
         let now = self.now;
         let target = &mut self.servers[server];
-        let aboard = target.runs.crashed(now, &target.id);
+        let contents = target.runs.crashed(now, &target.id);
         self.crashes += 1;
         self.suspects
-            .note_crash(now, &aboard, &self.servers[server].id);
-        for content in &aboard {
+            .note_crash(now, &contents, &self.servers[server].id);
+        for content in &contents {
             if let Some(served) = self.served.last(now, content) {
                 self.suspects.note_served(served, content);
             }
@@ -152,19 +152,19 @@
         self.running = kept;
         self.lost.extend(
             lost.into_iter()
-                .map(|run: Run| (run.content, run.tries + 1)),
+                .map(|run: Run| (run.content, run.attempts + 1)),
         );
         self.servers[server] = self.new_server();
-        self.servers[server].back = now + DOWN_FOR;
+        self.servers[server].back = now + RESTART_TIME;
     }
 
     fn step(&mut self) {
-        self.now = self.now + STEP;
-        for (content, tries) in std::mem::take(&mut self.lost) {
+        self.now = self.now + TIME_STEP;
+        for (content, attempts) in std::mem::take(&mut self.lost) {
             // The poison request is retried once; it is sent anew at a fixed interval anyway.
-            let most = if content == POISON { 2 } else { TRIES };
-            if tries < most {
-                self.send(content, tries);
+            let max_attempts = if content == POISON { 2 } else { MAX_ATTEMPTS };
+            if attempts < max_attempts {
+                self.send(content, attempts);
             }
         }
         while let Some(index) = self.running.iter().position(|run| run.ends <= self.now) {
@@ -184,25 +184,26 @@
 
 /// Result of a simulation: the share of harmless requests that were refused, of all requests, and
 /// the number of crashes.
-struct Played {
+struct Outcome {
     refused: f64,
     crashes: u64,
 }
 
-/// Simulates ten minutes with about `side_by_side` concurrent runs on each server. Each server
-/// crashes `crashes_a_minute` times a minute on average for other reasons than the poison request,
+/// Simulates ten minutes with about `concurrent_runs` concurrent runs on each server. Each server
+/// crashes `crashes_per_minute` times a minute on average for other reasons than the poison request,
 /// and all servers crash at once twice if `power_losses`.
-fn play(
+fn simulate(
     seed: u64,
-    side_by_side: f64,
-    crashes_a_minute: f64,
+    concurrent_runs: f64,
+    crashes_per_minute: f64,
     power_losses: bool,
     has_poison: bool,
-) -> Played {
+) -> Outcome {
     let mut fleet = Fleet::new(seed);
-    let steps = LENGTH.as_millis() / STEP.as_millis();
-    let arrivals = side_by_side * SERVERS as f64 * STEP.as_secs_f64() / RUN_TIME.as_secs_f64();
-    let crash_chance = crashes_a_minute / 60.0 * STEP.as_secs_f64();
+    let steps = SIMULATED_TIME.as_millis() / TIME_STEP.as_millis();
+    let arrivals =
+        concurrent_runs * SERVERS as f64 * TIME_STEP.as_secs_f64() / RUN_TIME.as_secs_f64();
+    let crash_chance = crashes_per_minute / 60.0 * TIME_STEP.as_secs_f64();
     let (mut due, mut own_content) = (0.0, 1_000_000);
     for step in 0..steps {
         fleet.step();
@@ -210,11 +211,11 @@
         while due >= 1.0 {
             due -= 1.0;
             own_content += 1;
-            let is_hot = fleet.random.random::<bool>();
-            let hot = fleet.random.random_range(0..HOT_CONTENTS);
-            fleet.send(if is_hot { hot } else { own_content }, 0);
+            let is_frequent = fleet.random.random::<bool>();
+            let frequent = fleet.random.random_range(0..FREQUENT_CONTENTS);
+            fleet.send(if is_frequent { frequent } else { own_content }, 0);
         }
-        if has_poison && step.is_multiple_of(POISON_PAUSE.as_millis() / STEP.as_millis()) {
+        if has_poison && step.is_multiple_of(POISON_INTERVAL.as_millis() / TIME_STEP.as_millis()) {
             fleet.send(POISON, 0);
         }
         let is_power_loss = power_losses && (step == steps / 3 || step == steps / 2);
@@ -225,24 +226,24 @@
             }
         }
     }
-    Played {
+    Outcome {
         refused: fleet.refused as f64 / (fleet.refused + fleet.sent) as f64,
         crashes: fleet.crashes,
     }
 }
 
 #[test]
-fn innocent_requests_are_hardly_ever_blocked() {
+fn harmless_requests_are_rarely_blocked_and_poison_ends_few_servers() {
     println!(
         "side by side | crashes a minute and server | power losses | refused | with such a request | crashes of it"
     );
-    for side_by_side in [1.0, 10.0, 100.0] {
+    for concurrent_runs in [1.0, 10.0, 100.0] {
         for (crashes, power_losses) in [(0.0, false), (0.1, false), (1.0, true), (6.0, true)] {
-            let alone = play(1, side_by_side, crashes, power_losses, false);
-            let beside = play(1, side_by_side, crashes, power_losses, true);
-            let by_it = beside.crashes.saturating_sub(alone.crashes);
+            let alone = simulate(1, concurrent_runs, crashes, power_losses, false);
+            let beside = simulate(1, concurrent_runs, crashes, power_losses, true);
+            let poison_crashes = beside.crashes.saturating_sub(alone.crashes);
             println!(
-                "{side_by_side} | {crashes} | {power_losses} | {:.1e} | {:.1e} | {by_it}",
+                "{concurrent_runs} | {crashes} | {power_losses} | {:.1e} | {:.1e} | {poison_crashes}",
                 alone.refused, beside.refused
             );
             assert!(
@@ -256,7 +257,10 @@
                 beside.refused
             );
             if crashes == 0.0 {
-                assert!(by_it <= 8, "the poison request crashed {by_it} servers");
+                assert!(
+                    poison_crashes <= 8,
+                    "the poison request crashed {poison_crashes} servers"
+                );
             }
         }
     }
--- a/crates/coordination/tests/mesh_poison_runs.rs
+++ b/crates/coordination/tests/mesh_poison_runs.rs
@@ -33,13 +33,13 @@
 }
 
 #[test]
-fn the_same_content_has_the_same_fingerprint_however_its_body_arrives() {
+fn fingerprint_does_not_depend_on_how_the_body_is_split() {
     let whole = fingerprint(&request(), &[b"boom"]);
     assert_eq!(whole, fingerprint(&request(), &[b"bo", b"om"]));
 }
 
 #[test]
-fn whatever_a_server_is_given_tells_requests_apart() {
+fn fingerprint_differs_if_any_part_of_the_request_differs() {
     let same = fingerprint(&request(), &[b"boom"]);
     let others = [
         RequestContent {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_crash_names_what_ran_there_once() {
+fn crash_returns_each_content_running_on_that_server_only_once() {
     let (one, other) = (InstanceId::new("one"), InstanceId::new("other"));
     let mut runs = ServerRuns::default();
     runs.started(InboundId(1), content(1), &one);
@@ -85,15 +85,15 @@
 }
 
 #[test]
-fn what_ended_without_a_good_answer_is_suspected_for_a_second() {
+fn runs_without_a_successful_response_are_suspected_for_a_second() {
     let server = InstanceId::new("one");
-    let crashes_after = |milliseconds: u64, is_served: bool| {
+    let suspected_after = |milliseconds: u64, is_served: bool| {
         let mut runs = ServerRuns::default();
         runs.started(InboundId(1), content(1), &server);
         runs.ended(START, InboundId(1), is_served);
         runs.crashed(START + Duration::from_millis(milliseconds), &server)
     };
-    assert_eq!(crashes_after(115, false), [content(1)]);
-    assert_eq!(crashes_after(1001, false), []);
-    assert_eq!(crashes_after(0, true), []);
+    assert_eq!(suspected_after(115, false), [content(1)]);
+    assert_eq!(suspected_after(1001, false), []);
+    assert_eq!(suspected_after(0, true), []);
 }
--- a/crates/coordination/tests/mesh_poison_suspects.rs
+++ b/crates/coordination/tests/mesh_poison_suspects.rs
@@ -39,7 +39,7 @@
 
 /// Returns the evidence of a node after `count` crashes, a second apart, while servers ran
 /// [`poison`].
-fn after_crashes(count: u32) -> Suspects {
+fn suspects_after_crashes(count: u32) -> Suspects {
     let mut suspects = Suspects::default();
     for number in 0..count {
         suspects.note_crash(at(f64::from(number)), &[poison()], &server(number));
@@ -48,32 +48,38 @@
 }
 
 #[test]
-fn three_crashes_of_different_servers_prove_it() {
+fn content_is_blocked_only_after_three_different_servers_crashed() {
     assert_eq!(
-        after_crashes(2).verdict(at(2.0), &poison()),
+        suspects_after_crashes(2).verdict(at(2.0), &poison()),
         Verdict::Admitted
     );
-    let blocked = after_crashes(3).verdict(at(2.0), &poison());
+    let blocked = suspects_after_crashes(3).verdict(at(2.0), &poison());
     assert_eq!(blocked, Verdict::Blocked(FIRST_BLOCK));
-    let mut told_twice = after_crashes(2);
-    assert!(!told_twice.note_crash(at(3.0), &[poison()], &server(1)));
-    assert_eq!(told_twice.verdict(at(3.0), &poison()), Verdict::Admitted);
+    let mut reported_twice = suspects_after_crashes(2);
+    assert!(!reported_twice.note_crash(at(3.0), &[poison()], &server(1)));
+    assert_eq!(
+        reported_twice.verdict(at(3.0), &poison()),
+        Verdict::Admitted
+    );
     let other = request(8);
-    assert_eq!(after_crashes(3).verdict(at(2.0), &other), Verdict::Admitted);
+    assert_eq!(
+        suspects_after_crashes(3).verdict(at(2.0), &other),
+        Verdict::Admitted
+    );
 }
 
 #[test]
-fn a_good_run_clears_it_of_the_crashes_before() {
-    let mut suspects = after_crashes(3);
+fn successful_run_clears_content_of_earlier_crashes() {
+    let mut suspects = suspects_after_crashes(3);
     suspects.note_served(at(2.5), &poison());
     assert_eq!(suspects.verdict(at(2.5), &poison()), Verdict::Admitted);
     assert_eq!(suspects.crashes(&poison().content), 0);
 }
 
 #[test]
-fn a_good_run_shortly_before_a_crash_speaks_against_it() {
+fn crash_within_10_s_after_a_successful_run_is_not_counted() {
     let served_before_crash = |seconds: f64| {
-        let mut suspects = after_crashes(1);
+        let mut suspects = suspects_after_crashes(1);
         suspects.note_served(at(10.0), &poison());
         suspects.note_crash(at(10.0 + seconds), &[poison()], &server(9));
         suspects.crashes(&poison().content)
@@ -86,48 +92,48 @@
 /// during the crashes, too, and nothing runs successfully. The frequent request of this test ran
 /// successfully a few seconds before.
 #[test]
-fn what_ran_well_before_an_outbreak_is_not_blocked_with_its_cause() {
+fn content_that_ran_successfully_before_the_crashes_is_not_blocked_with_their_cause() {
     let mut suspects = Suspects::default();
-    let hot = request(8);
+    let frequent = request(8);
     for crash in 0..6 {
-        let aboard = [poison(), hot.clone()];
-        suspects.note_crash(at(20.0 + f64::from(crash) * 0.9), &aboard, &server(crash));
-        suspects.note_served(at(19.0), &hot);
+        let contents = [poison(), frequent.clone()];
+        suspects.note_crash(at(20.0 + f64::from(crash) * 0.9), &contents, &server(crash));
+        suspects.note_served(at(19.0), &frequent);
     }
     assert!(matches!(
         suspects.verdict(at(25.0), &poison()),
         Verdict::Blocked(_)
     ));
-    assert_eq!(suspects.verdict(at(25.0), &hot), Verdict::Admitted);
+    assert_eq!(suspects.verdict(at(25.0), &frequent), Verdict::Admitted);
 }
 
 /// The crashes begin before either of the two contents has run successfully.
 #[test]
-fn what_runs_well_for_other_callers_is_admitted_if_another_content_explains_its_crashes() {
-    let hot = request(8);
+fn content_that_runs_for_other_callers_is_admitted_if_another_content_explains_its_crashes() {
+    let frequent = request(8);
     let mut suspects = Suspects::default();
     for crash in 0..3 {
-        let aboard = [poison(), hot.clone()];
-        suspects.note_crash(at(f64::from(crash) * 0.1), &aboard, &server(crash));
+        let contents = [poison(), frequent.clone()];
+        suspects.note_crash(at(f64::from(crash) * 0.1), &contents, &server(crash));
     }
     // Up to here there is the same evidence against both contents.
     assert!(matches!(
-        suspects.verdict(at(0.3), &hot),
+        suspects.verdict(at(0.3), &frequent),
         Verdict::Blocked(_)
     ));
     suspects.note_served(at(3.0), &request_of(8, "media"));
-    assert_eq!(suspects.verdict(at(3.0), &hot), Verdict::Admitted);
+    assert_eq!(suspects.verdict(at(3.0), &frequent), Verdict::Admitted);
     assert!(matches!(
         suspects.verdict(at(3.0), &poison()),
         Verdict::Blocked(_)
     ));
     // Crashes without the other content are not explained by it; three of them are a proof.
     for crash in 0..3 {
-        assert_eq!(suspects.verdict(at(4.0), &hot), Verdict::Admitted);
-        suspects.note_crash(at(4.0), std::slice::from_ref(&hot), &server(9 + crash));
+        assert_eq!(suspects.verdict(at(4.0), &frequent), Verdict::Admitted);
+        suspects.note_crash(at(4.0), std::slice::from_ref(&frequent), &server(9 + crash));
     }
     assert!(matches!(
-        suspects.verdict(at(4.0), &hot),
+        suspects.verdict(at(4.0), &frequent),
         Verdict::Blocked(_)
     ));
 }
@@ -136,21 +142,21 @@
 /// for 30 s for another. Two of the crashes had known causes, and one server had crashed for an
 /// unrelated reason, while it ran no other content that had never run successfully.
 #[test]
-fn crashes_that_a_cause_explains_and_one_of_another_kind_are_no_proof() {
-    let hot = request(8);
+fn explained_crashes_and_one_unexplained_crash_do_not_block_a_content() {
+    let frequent = request(8);
     let mut suspects = Suspects::default();
-    suspects.note_crash(at(0.0), std::slice::from_ref(&hot), &server(0));
+    suspects.note_crash(at(0.0), std::slice::from_ref(&frequent), &server(0));
     for crash in 1..3 {
-        let aboard = [poison(), hot.clone()];
-        suspects.note_crash(at(f64::from(crash)), &aboard, &server(crash));
+        let contents = [poison(), frequent.clone()];
+        suspects.note_crash(at(f64::from(crash)), &contents, &server(crash));
     }
     suspects.note_served(at(2.5), &request_of(8, "media"));
-    assert_eq!(suspects.verdict(at(2.6), &hot), Verdict::Admitted);
+    assert_eq!(suspects.verdict(at(2.6), &frequent), Verdict::Admitted);
 }
 
 #[test]
-fn a_block_ends_in_a_trial_and_lasts_longer_after_each_crash() {
-    let mut suspects = after_crashes(3);
+fn block_ends_with_a_trial_and_grows_longer_after_each_failed_trial() {
+    let mut suspects = suspects_after_crashes(3);
     assert_eq!(
         suspects.verdict(at(31.9), &poison()),
         Verdict::Blocked(Duration::from_millis(100))
@@ -168,14 +174,14 @@
 }
 
 #[test]
-fn what_does_not_come_again_is_forgotten() {
-    let mut suspected = after_crashes(2);
+fn contents_without_new_crashes_are_forgotten() {
+    let mut suspected = suspects_after_crashes(2);
     suspected.forget_old(at(1.0 + 599.0));
     assert_eq!(suspected.counts(), (1, 0));
     suspected.forget_old(at(1.0 + 601.0));
     assert_eq!(suspected.counts(), (0, 0));
     assert_eq!(suspected.digest(), 0);
-    let mut proven = after_crashes(3);
+    let mut proven = suspects_after_crashes(3);
     proven.forget_old(at(2.0 + 3629.0));
     assert_eq!(proven.counts(), (1, 1));
     proven.forget_old(at(2.0 + 3631.0));
@@ -183,8 +189,8 @@
 }
 
 #[test]
-fn one_trial_runs_at_a_time() {
-    let mut suspects = after_crashes(3);
+fn second_trial_of_a_content_waits_for_two_seconds() {
+    let mut suspects = suspects_after_crashes(3);
     assert!(suspects.begin_trial(at(40.0), &poison().content));
     assert!(!suspects.begin_trial(at(41.9), &poison().content));
     assert!(suspects.begin_trial(at(42.0), &poison().content));
@@ -193,16 +199,16 @@
 /// Guards against simultaneous trials: if two contents are tried on one server at the same time and
 /// one crashes it, the other, which is harmless, is blocked for five minutes as well.
 #[test]
-fn contents_are_tried_one_after_the_other() {
-    let mut suspects = after_crashes(3);
-    let hot = request(8);
+fn trials_of_different_contents_do_not_overlap() {
+    let mut suspects = suspects_after_crashes(3);
+    let frequent = request(8);
     assert!(suspects.begin_trial(at(40.0), &poison().content));
-    assert!(!suspects.begin_trial(at(41.9), &hot.content));
-    assert!(suspects.begin_trial(at(42.0), &hot.content));
+    assert!(!suspects.begin_trial(at(41.9), &frequent.content));
+    assert!(suspects.begin_trial(at(42.0), &frequent.content));
     // A successful run before the trial began doesn't end the trial.
-    suspects.note_served(at(41.0), &hot);
+    suspects.note_served(at(41.0), &frequent);
     assert!(!suspects.begin_trial(at(42.1), &poison().content));
-    suspects.note_served(at(42.2), &hot);
+    suspects.note_served(at(42.2), &frequent);
     assert!(suspects.begin_trial(at(42.2), &poison().content));
 }
 
@@ -211,58 +217,61 @@
 /// beside one of the causes, and was blocked for all callers for 30 s, as only a successful run
 /// could distinguish it from the causes.
 #[test]
-fn what_others_may_have_caused_is_tried_soon_and_once() {
-    let (hot, second) = (request(8), request(9));
+fn content_whose_crashes_others_may_have_caused_is_tried_after_12_s_and_once() {
+    let (frequent, second) = (request(8), request(9));
     let mut suspects = Suspects::default();
     for (number, cause) in (0..).zip([poison(), poison(), second]) {
         suspects.note_crash(
             at(f64::from(number)),
-            &[cause, hot.clone()],
+            &[cause, frequent.clone()],
             &server(number),
         );
     }
-    let soon = Duration::from_secs(12);
-    assert_eq!(suspects.verdict(at(2.0), &hot), Verdict::Blocked(soon));
-    assert_eq!(suspects.take_changes(at(2.0))[0].blocked_for, soon);
-    assert_eq!(suspects.verdict(at(14.0), &hot), Verdict::OnTrial);
+    let short_block = Duration::from_secs(12);
+    assert_eq!(
+        suspects.verdict(at(2.0), &frequent),
+        Verdict::Blocked(short_block)
+    );
+    assert_eq!(suspects.take_changes(at(2.0))[0].blocked_for, short_block);
+    assert_eq!(suspects.verdict(at(14.0), &frequent), Verdict::OnTrial);
     let mut crashed = suspects.clone();
-    crashed.note_crash(at(14.1), std::slice::from_ref(&hot), &server(3));
+    crashed.note_crash(at(14.1), std::slice::from_ref(&frequent), &server(3));
     let five_minutes = Verdict::Blocked(Duration::from_secs(300));
-    assert_eq!(crashed.verdict(at(14.1), &hot), five_minutes);
-    suspects.note_served(at(14.1), &hot);
-    assert_eq!(suspects.verdict(at(14.1), &hot), Verdict::Admitted);
+    assert_eq!(crashed.verdict(at(14.1), &frequent), five_minutes);
+    suspects.note_served(at(14.1), &frequent);
+    assert_eq!(suspects.verdict(at(14.1), &frequent), Verdict::Admitted);
 }
 
 /// A successful run of the other content shows that it is not the cause.
 #[test]
-fn a_cause_that_nothing_explains_any_more_is_blocked_as_long_as_ever() {
-    let hot = request(8);
+fn content_is_blocked_for_the_full_time_once_no_other_may_be_the_cause() {
+    let frequent = request(8);
     let mut suspects = Suspects::default();
     for number in 0..3 {
-        let aboard = [poison(), hot.clone()];
-        suspects.note_crash(at(f64::from(number)), &aboard, &server(number));
+        let contents = [poison(), frequent.clone()];
+        suspects.note_crash(at(f64::from(number)), &contents, &server(number));
     }
     let doubtful = Verdict::Blocked(Duration::from_secs(11));
     assert_eq!(suspects.verdict(at(3.0), &poison()), doubtful);
-    suspects.note_served(at(3.0), &hot);
+    suspects.note_served(at(3.0), &frequent);
     let certain = Verdict::Blocked(Duration::from_secs(29));
     assert_eq!(suspects.verdict(at(3.0), &poison()), certain);
 }
 
 /// Other requests that were running during one crash each don't count as possible causes.
 #[test]
-fn what_nothing_else_may_have_caused_is_not_tried_sooner() {
+fn contents_running_during_one_crash_each_do_not_shorten_the_block() {
     let mut suspects = Suspects::default();
     for number in 0..3 {
-        let aboard = [poison(), request(100 + u128::from(number))];
-        suspects.note_crash(at(f64::from(number)), &aboard, &server(number));
+        let contents = [poison(), request(100 + u128::from(number))];
+        suspects.note_crash(at(f64::from(number)), &contents, &server(number));
     }
     let blocked = suspects.verdict(at(2.0), &poison());
     assert_eq!(blocked, Verdict::Blocked(FIRST_BLOCK));
 }
 
 #[test]
-fn all_nodes_name_the_same_server_for_a_trial_and_never_the_last_one() {
+fn all_nodes_select_the_same_trial_server_and_never_the_last_one() {
     let servers: Vec<InstanceId> = (0..5).map(server).collect();
     let reversed: Vec<InstanceId> = servers.iter().rev().cloned().collect();
     assert_eq!(
@@ -275,8 +284,8 @@
 }
 
 #[test]
-fn changes_are_told_once() {
-    let mut suspects = after_crashes(3);
+fn each_change_is_returned_only_once() {
+    let mut suspects = suspects_after_crashes(3);
     let changes = suspects.take_changes(at(2.0));
     assert_eq!(changes.len(), 1);
     assert_eq!(changes[0].blocked_callers, [poison().caller]);
@@ -287,13 +296,13 @@
 }
 
 #[test]
-fn a_flood_of_different_contents_is_bounded_and_drops_no_proof() {
-    let mut suspects = after_crashes(3);
+fn many_different_contents_do_not_exceed_the_limit_or_evict_a_proven_one() {
+    let mut suspects = suspects_after_crashes(3);
     for crash in 0..100 {
-        let aboard: Vec<_> = (0..140)
+        let contents: Vec<_> = (0..140)
             .map(|run| request(1000 + crash * 140 + run))
             .collect();
-        suspects.note_crash(at(10.0), &aboard, &server(100 + crash as u32));
+        suspects.note_crash(at(10.0), &contents, &server(100 + crash as u32));
     }
     assert_eq!(suspects.counts(), (1024, 1));
     assert!(matches!(
@@ -303,7 +312,7 @@
 }
 
 #[test]
-fn what_ran_well_is_remembered_with_its_last_time() {
+fn last_successful_run_of_a_content_is_remembered_and_expires() {
     let mut recent = RecentContents::default();
     recent.note(at(100.0), poison());
     recent.note(at(104.0), poison());
@@ -313,7 +322,7 @@
 }
 
 #[test]
-fn crashes_under_requests_of_two_callers_count_together() {
+fn crashes_during_requests_of_two_callers_count_together() {
     let mut suspects = Suspects::default();
     suspects.note_crash(at(0.0), &[request_of(7, "media")], &server(0));
     suspects.note_crash(at(0.1), &[request_of(7, "media")], &server(1));
@@ -327,22 +336,22 @@
 /// Two contents and an unrelated failure crash servers in turns, so that no single content was
 /// running during all crashes that count against a frequent one.
 #[test]
-fn crashes_that_several_contents_explain_together_are_no_proof() {
-    let hot = request_of(8, "creator");
+fn crashes_explained_by_several_contents_together_do_not_block_a_content() {
+    let frequent = request_of(8, "creator");
     let second = request(9);
     let mut suspects = Suspects::default();
     suspects.note_served(at(0.0), &request_of(8, "feeds"));
     let causes = [poison(), second.clone(), poison(), second.clone()];
     for (number, cause) in (0..).zip(causes) {
-        let aboard = [cause, hot.clone()];
-        suspects.note_crash(at(f64::from(number) * 0.1), &aboard, &server(number));
+        let contents = [cause, frequent.clone()];
+        suspects.note_crash(at(f64::from(number) * 0.1), &contents, &server(number));
     }
     // A crash without a known cause.
-    suspects.note_crash(at(0.5), &[hot.clone(), request(100)], &server(4));
+    suspects.note_crash(at(0.5), &[frequent.clone(), request(100)], &server(4));
     suspects.note_served(at(0.5), &request_of(8, "feeds"));
-    assert_eq!(suspects.verdict(at(0.6), &hot), Verdict::Admitted);
+    assert_eq!(suspects.verdict(at(0.6), &frequent), Verdict::Admitted);
     suspects.note_crash(at(0.7), &[poison()], &server(5));
-    assert_eq!(suspects.verdict(at(0.8), &hot), Verdict::Admitted);
+    assert_eq!(suspects.verdict(at(0.8), &frequent), Verdict::Admitted);
     assert!(matches!(
         suspects.verdict(at(0.8), &poison()),
         Verdict::Blocked(_)
@@ -351,12 +360,12 @@
 
 /// A content that was requested once, and was running during one crash, explains no crash.
 #[test]
-fn contents_that_were_aboard_of_one_crash_each_explain_nothing() {
+fn contents_running_during_one_crash_each_do_not_explain_crashes() {
     let by_caller = request_of(8, "creator");
     let mut suspects = Suspects::default();
     for number in 0..3 {
-        let aboard = [request(u128::from(number) + 100), by_caller.clone()];
-        suspects.note_crash(at(f64::from(number) * 0.1), &aboard, &server(number));
+        let contents = [request(u128::from(number) + 100), by_caller.clone()];
+        suspects.note_crash(at(f64::from(number) * 0.1), &contents, &server(number));
     }
     suspects.note_served(at(0.4), &request_of(8, "feeds"));
     let verdict = suspects.verdict(at(0.5), &by_caller);
@@ -365,18 +374,18 @@
 
 /// A node may learn of a crash some milliseconds before it learns of successful runs at other nodes.
 #[test]
-fn a_proof_settles_before_requests_are_refused_for_it() {
-    let suspects = after_crashes(3);
+fn requests_wait_before_they_are_refused_for_a_new_proof() {
+    let suspects = suspects_after_crashes(3);
     let left = suspects.settles_in(at(2.0) + Duration::from_millis(30), &poison());
     assert_eq!(left, SETTLING - Duration::from_millis(30));
     assert_eq!(suspects.settles_in(at(2.2), &poison()), Duration::ZERO);
     assert_eq!(suspects.settles_in(at(2.0), &request(8)), Duration::ZERO);
-    let not_proven = after_crashes(2);
+    let not_proven = suspects_after_crashes(2);
     assert_eq!(not_proven.settles_in(at(1.0), &poison()), Duration::ZERO);
 }
 
 #[test]
-fn good_runs_are_remembered_for_all_callers_of_a_content() {
+fn successful_runs_are_remembered_for_each_caller_of_a_content() {
     let mut recent = RecentContents::default();
     recent.note(at(1.0), request_of(8, "feeds"));
     recent.note(at(1.5), request_of(8, "media"));
@@ -390,8 +399,8 @@
 }
 
 #[test]
-fn another_callers_requests_are_not_blocked_for_those_of_one() {
-    let mut suspects = after_crashes(5);
+fn block_for_one_caller_does_not_apply_to_another_caller() {
+    let mut suspects = suspects_after_crashes(5);
     let other = request_of(7, "media");
     assert_eq!(suspects.verdict(at(5.0), &other), Verdict::Admitted);
     // The other caller's request was running during a crash by chance and runs successfully.
@@ -406,7 +415,7 @@
 
 /// If they had the same digest, nodes that know of different crashes would not exchange reports.
 #[test]
-fn crashes_of_two_starts_of_a_server_are_told_apart() {
+fn digest_distinguishes_crashes_of_two_starts_of_a_server() {
     let after = |started_ms: u64| {
         let mut suspects = Suspects::default();
         let start = server(1).started_at(started_ms);
@@ -419,18 +428,18 @@
 /// Exchange of reports from one node to the next: the time on the asking node's clock when it sends
 /// the request, in milliseconds, and the time that the request and the response take.
 #[derive(Clone, Debug)]
-struct Hop {
-    clock_offset: u32,
-    question_ms: u16,
-    answer_ms: u16,
+struct Exchange {
+    clock_ms: u32,
+    request_ms: u16,
+    response_ms: u16,
 }
 
-impl Arbitrary for Hop {
+impl Arbitrary for Exchange {
     fn arbitrary(random: &mut Gen) -> Self {
-        Hop {
-            clock_offset: u32::arbitrary(random) % 100_000,
-            question_ms: u16::arbitrary(random) % 3000,
-            answer_ms: u16::arbitrary(random) % 3000,
+        Exchange {
+            clock_ms: u32::arbitrary(random) % 100_000,
+            request_ms: u16::arbitrary(random) % 3000,
+            response_ms: u16::arbitrary(random) % 3000,
         }
     }
 }
@@ -438,26 +447,26 @@
 quickcheck! {
     /// A block doesn't grow longer when it is passed from node to node, whatever the delays are, also
     /// if the nodes started after the crashes.
-    fn a_block_does_not_last_longer_for_being_passed_on(hops: Vec<Hop>) -> bool {
+    fn block_does_not_grow_longer_when_passed_from_node_to_node(exchanges: Vec<Exchange>) -> bool {
         // `elapsed` is the time since the third crash; `clock` is the reporting node's clock.
         let mut elapsed = Duration::ZERO;
         let mut clock = at(2.0);
-        let mut knows = after_crashes(3);
-        for hop in hops.iter().take(5) {
-            let asked = Timestamp::from_micros(u64::from(hop.clock_offset) * 1000);
-            let question = Duration::from_millis(hop.question_ms.into());
-            let answer = Duration::from_millis(hop.answer_ms.into());
-            elapsed += question + answer;
-            clock = clock + question;
-            let reports = knows.reports(clock);
-            clock = asked + question + answer;
-            let mut next = Suspects::default();
-            next.join(clock, asked, reports);
-            knows = next;
+        let mut reporting = suspects_after_crashes(3);
+        for exchange in exchanges.iter().take(5) {
+            let asked = Timestamp::from_micros(u64::from(exchange.clock_ms) * 1000);
+            let request_time = Duration::from_millis(exchange.request_ms.into());
+            let response_time = Duration::from_millis(exchange.response_ms.into());
+            elapsed += request_time + response_time;
+            clock = clock + request_time;
+            let reports = reporting.reports(clock);
+            clock = asked + request_time + response_time;
+            let mut asking = Suspects::default();
+            asking.join(clock, asked, reports);
+            reporting = asking;
         }
         let left = FIRST_BLOCK.saturating_sub(elapsed);
-        match knows.verdict(clock, &poison()) {
-            Verdict::Blocked(told) => told <= left,
+        match reporting.verdict(clock, &poison()) {
+            Verdict::Blocked(remaining) => remaining <= left,
             Verdict::OnTrial => true,
             Verdict::Admitted => false,
         }
@@ -465,7 +474,7 @@
 
     /// Nodes that observed different crashes and runs have the same evidence after they have fetched
     /// each other's reports, in whatever order.
-    fn nodes_that_ask_each_other_end_with_the_same(events: Vec<(u8, u8, u8, bool)>, first: bool) -> bool {
+    fn nodes_that_exchange_reports_converge_to_the_same_evidence(events: Vec<(u8, u8, u8, bool)>, is_one_first: bool) -> bool {
         let mut nodes = [Suspects::default(), Suspects::default()];
         for (index, (node, content, by, is_served)) in events.iter().enumerate() {
             let now = at(index as f64 * 0.7);
@@ -479,7 +488,7 @@
         }
         let now = at(events.len() as f64);
         let [mut one, mut other] = nodes;
-        if first {
+        if is_one_first {
             one.join(now, now, other.reports(now));
             other.join(now, now, one.reports(now));
         } else {
