--- a/crates/coordination/src/mesh/tenants/authentication.rs
+++ b/crates/coordination/src/mesh/tenants/authentication.rs
@@ -1,10 +1,10 @@
-//! Which tenant a request belongs to.
+//! Authentication of requests: finds the tenant that a request's key belongs to.
 //!
-//! A key that was taken away must open nothing once the time for that has passed, at any
-//! node: also one that was cut off, paused or suspended, and can't know. So a node takes keys
-//! only while an upper bound of its view's age, on a clock that counts suspensions, is below
-//! that time. What is later than the check (queues, repeats) needs no second one, since the
-//! time runs until the request was sent.
+//! Once the revocation time has passed, no node may accept a revoked key, not even a node that was
+//! cut off, paused or suspended and can't know of the revocation. So a node accepts keys only while
+//! an upper bound of the age of its configuration view, on a clock that counts suspensions, is
+//! below that time. Requests that are queued or retried after the check need no second check, since
+//! the revocation time applies to when the request was sent.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,38 +12,39 @@
 
 use lifthollow_state::mesh::{Configuration, KeyDigest, Route, Tenant};
 
-/// Kept back of the time in which a revocation must be in force. Ages are upper bounds, so it
-/// covers only that clocks run at different speeds, 1% at most here. Of the time that a node
-/// serves without the source it costs 0.05 of 5 s.
+/// Safety margin, as a fraction of the time within which a revocation must take effect. Ages are
+/// upper bounds, so the margin only has to cover clocks that run at different speeds, by 1% at most
+/// here. It shortens the time for which a node serves without the source by 0.05 of 5 s.
 const REVOCATION_MARGIN: f64 = 0.05;
-/// An unknown key may be younger than a view that is older than this, so its sender is asked to
-/// come again. Views of nodes in touch are at most 1.3 s old, and a new configuration is to be in
-/// force within 2 s.
+/// View age from which an unknown key is not rejected as unknown, because the key may be newer than
+/// the view; its sender is asked to retry. Views of connected nodes are at most 1.3 s old, and a new
+/// configuration must take effect within 2 s.
 const CONCLUSIVE_VIEW: Duration = Duration::from_secs(2);
 
-/// Why a request is not let in.
+/// Reason why a request is rejected by authentication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// It has no key, and needs one.
+    /// The request has no key, but its route needs one.
     NoKey,
-    /// Its key belongs to no tenant.
+    /// The request's key belongs to no tenant.
     UnknownKey,
-    /// This node's view is too old to tell.
+    /// This node's configuration view is too old to accept or reject the key.
     ViewTooOld,
 }
 
-/// How old a view may be by which keys are taken.
+/// Age that a node's configuration view must not reach for the node to accept keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OldestView(Duration);
 
 impl OldestView {
-    /// Keys that were taken away are refused within `revocation`, by nodes in touch and others.
+    /// Returns the view age with which all nodes, connected or not, reject revoked keys within
+    /// `revocation`.
     pub fn for_revocation(revocation: Duration) -> Self {
         OldestView(revocation.mul_f64(1.0 - REVOCATION_MARGIN))
     }
 }
 
-/// The keys of one configuration.
+/// Tenants of one configuration, by key and by name.
 #[derive(Clone, Debug, Default)]
 pub struct KeyTable {
     has_tenants: bool,
@@ -52,7 +53,7 @@
 }
 
 impl KeyTable {
-    /// The keys of `configuration`.
+    /// Builds the table of the tenants of `configuration`.
     pub fn new(configuration: &Configuration) -> Self {
         let mut table = KeyTable {
             has_tenants: !configuration.tenants.is_empty(),
@@ -68,23 +69,25 @@
         table
     }
 
-    /// Whether there are tenants, so that requests need keys.
+    /// Returns whether the configuration has tenants, so that requests need keys.
     pub fn has_tenants(&self) -> bool {
         self.has_tenants
     }
 
-    /// The tenant of this name.
+    /// Returns the tenant with this name.
     pub fn tenant(&self, name: &str) -> Option<&Arc<Tenant>> {
         self.by_name.get(name)
     }
 
-    /// The tenant of a request on `route` with `key`; none if it has none and needs none. The
-    /// view is at most `view_age` old; none if it was never confirmed. Without `oldest`, keys
-    /// are taken however old it is.
+    /// Returns the tenant of a request on `route` with `key`, or `None` if there is no tenant for it
+    /// and the route needs no key. `view_age` is an upper bound of the age of the configuration
+    /// view, `None` if the view was never confirmed. Without `oldest`, keys are accepted
+    /// whatever the age of the view is.
     ///
     /// # Errors
     ///
-    /// The request needs a key, and hasn't one that is known to be good.
+    /// Returns a [`Denial`] if the route needs a key and the request has none that is known to be
+    /// valid.
     pub fn authenticate(
         &self,
         route: &Route,
--- a/crates/coordination/src/mesh/tenants/borrower.rs
+++ b/crates/coordination/src/mesh/tenants/borrower.rs
@@ -1,7 +1,8 @@
-//! Whether a node has a token for a tenant's request.
+//! Tokens that a node holds for the requests of one tenant.
 //!
-//! Tokens come from the tenant's lender, a few at a time, and expire. Each node has besides an
-//! equal part of what the fleet may use on top of the limit, without asking anybody.
+//! A request needs a token to run. A node borrows tokens from the tenant's lender, a few at a time,
+//! and they expire. In addition each node has an equal share of what the fleet may use above the
+//! limit ("free tokens"), which it uses without asking a lender.
 
 use std::time::Duration;
 
@@ -10,45 +11,46 @@
 use crate::mesh::tenants::fleet_quota::FleetQuota;
 use crate::mesh::tenants::lender::{Loan, Question};
 
-/// Tokens that were lent and not used expire after this time.
+/// Time after which borrowed tokens that were not used expire.
 const LOAN_TIME: Duration = Duration::from_secs(1);
-/// Tokens are asked for ahead for this time.
+/// Time for whose expected requests a node asks for tokens in advance.
 const AHEAD_TIME: Duration = Duration::from_millis(500);
-/// The time over which a tenant's requests at this node are counted.
+/// Time constant of the exponentially decaying count of a tenant's requests at this node.
 const DEMAND_TIME: Duration = Duration::from_secs(1);
-/// A node that no lender answers tries again after this time.
+/// Time after which a node asks again if no lender answered.
 const UNANSWERED_PAUSE: Duration = Duration::from_millis(200);
-/// Callers over their tenant's limit are asked to come back after this time at most.
+/// Maximum retry delay given to callers whose tenant is over its limit.
 const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(3);
 
-/// What becomes of a request.
+/// Result of taking a token for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// It has a token.
+    /// The request has a token and may run.
     Token,
-    /// It may have one once the lender has answered.
+    /// There is no token; the request may get one once the lender has answered.
     AskLender,
-    /// Its tenant is at its limit; a token is expected after this time.
+    /// The tenant is at its limit; a token for this request is expected after this time.
     OverLimit(Duration),
-    /// Nobody tells whether its tenant is; one may after this time.
+    /// No lender answered, so it is unknown whether the tenant is at its limit; the lenders may be
+    /// asked again after this time.
     Unanswered(Duration),
 }
 
-/// Why a node does not ask.
+/// Reason why a node doesn't ask the lender for tokens for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Closed {
     AtLimit,
     Unanswered,
 }
 
-/// What a node knows of one tenant's tokens.
+/// State of one tenant's tokens at a node.
 #[derive(Clone, Debug)]
 pub struct Borrower {
     lent: u32,
     lent_until: Timestamp,
     free: f64,
     counted: Timestamp,
-    /// Requests of this node, counted less the longer ago they came.
+    /// Exponentially decaying count of the tenant's requests at this node.
     demand: f64,
     arrived_since_question: u32,
     waiting: u32,
@@ -58,7 +60,7 @@
 }
 
 impl Borrower {
-    /// A node that has asked for nothing yet.
+    /// Creates the state of a node that has not asked for tokens yet.
     pub fn new(now: Timestamp, quota: &FleetQuota) -> Self {
         Borrower {
             lent: 0,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// A request came. It uses a token if there is one.
+    /// Counts a new request and takes a token for it if there is one.
     pub fn arrive(&mut self, now: Timestamp, quota: &FleetQuota) -> Taken {
         self.count(now, quota);
         self.demand += 1.0;
@@ -82,7 +84,7 @@
         self.take(now)
     }
 
-    /// A request that waited for the lender's answer uses a token if there is one.
+    /// Takes a token, if there is one, for a request that waited for the lender's answer.
     pub fn take_after_answer(&mut self, now: Timestamp, quota: &FleetQuota) -> Taken {
         self.count(now, quota);
         self.take(now)
@@ -108,24 +110,24 @@
             return Taken::Unanswered(left);
         }
         self.refused_since_closed = self.refused_since_closed.saturating_add(1);
-        // Those who come back are spread over the time in which tokens for them are expected.
+        // Spreads the retries of refused callers over the time in which tokens for them are expected.
         let place = f64::from(self.refused_since_closed);
         let spread = place / self.rate.max(1.0 / LONGEST_RETRY_AFTER.as_secs_f64());
         let spread = Duration::from_secs_f64(spread.min(LONGEST_RETRY_AFTER.as_secs_f64()));
         Taken::OverLimit((left + spread).min(LONGEST_RETRY_AFTER))
     }
 
-    /// A request begins to wait for the lender's answer.
+    /// Records that a request begins to wait for the lender's answer.
     pub fn begin_waiting(&mut self) {
         self.waiting += 1;
     }
 
-    /// A request waits no longer.
+    /// Records that a request no longer waits for the lender's answer.
     pub fn end_waiting(&mut self) {
         self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// What to ask the lender now.
+    /// Returns the question to send to the lender now.
     pub fn question(&mut self, now: Timestamp, quota: &FleetQuota) -> Question {
         self.count(now, quota);
         let expected = self.demand / DEMAND_TIME.as_secs_f64() * AHEAD_TIME.as_secs_f64();
@@ -136,13 +138,13 @@
         }
     }
 
-    /// The lender answered a question of `asked`.
+    /// Records the lender's answer to the question that was sent at `asked`.
     pub fn answered(&mut self, now: Timestamp, asked: Timestamp, loan: Loan) {
         if now >= self.lent_until {
             self.lent = 0;
         }
         self.lent = self.lent.saturating_add(loan.tokens);
-        // From the question on, as the answer may have been under way for long.
+        // The loan expires relative to the time of the question, as the answer may have been delayed.
         self.lent_until = (asked + LOAN_TIME).max(self.lent_until.min(now + LOAN_TIME));
         self.rate = loan.rate;
         self.refused_since_closed = 0;
@@ -150,12 +152,12 @@
         self.closed = is_at_limit.then(|| (Closed::AtLimit, now + loan.pause));
     }
 
-    /// No lender answered.
+    /// Records that no lender answered.
     pub fn unanswered(&mut self, now: Timestamp) {
         self.closed = Some((Closed::Unanswered, now + UNANSWERED_PAUSE));
     }
 
-    /// A request that had a token did not run.
+    /// Takes back the token of a request that did not run.
     pub fn give_back(&mut self, now: Timestamp) {
         if now >= self.lent_until {
             self.lent = 0;
@@ -164,13 +166,13 @@
         self.lent = self.lent.saturating_add(1);
     }
 
-    /// Whether the tenant is at its limit as far as this node knows.
+    /// Returns whether the tenant is at its limit as far as this node knows.
     pub fn is_at_limit(&self, now: Timestamp) -> bool {
         self.closed
             .is_some_and(|(why, until)| why == Closed::AtLimit && now < until)
     }
 
-    /// Whether nothing is left that a new borrower wouldn't know.
+    /// Returns whether this state equals that of a new borrower, so that it can be dropped.
     pub fn is_idle(&self, now: Timestamp, quota: &FleetQuota) -> bool {
         let passed = now.saturating_since(self.counted).as_secs_f64();
         self.waiting == 0
--- a/crates/coordination/src/mesh/tenants/fleet_quota.rs
+++ b/crates/coordination/src/mesh/tenants/fleet_quota.rs
@@ -1,14 +1,15 @@
-//! What all nodes together may use of one tenant's limit, and how that is divided.
+//! Number of requests that all nodes together may run under one tenant's limit, and its division
+//! among them.
 //!
-//! In each window the fleet may run `(rate x window + burst) x (1 + overshoot) + slack`
-//! requests of a tenant. What lies between the limit itself and that is spare, and is divided
-//! so that the sum holds whatever nodes know of each other:
+//! In each window the fleet may run `(rate x window + burst) x (1 + overshoot) + slack` requests of
+//! a tenant. The difference between that and the limit itself, `rate x window + burst`, is the
+//! excess. It is divided so that the total is kept whatever nodes know of each other:
 //!
-//! | part of the spare | who uses it |
+//! | part of the excess | used for |
 //! |---|---|
-//! | [`FREE_SHARE`] | each node its equal part, without asking anybody |
-//! | [`AHEAD_SHARE`] | tokens that nodes were lent and have not used yet |
-//! | the rest | lenders that take over from each other, and start with [`FIRST_TOKENS`] |
+//! | [`FREE_SHARE`] | an equal share for each node, used without asking a lender |
+//! | [`AHEAD_SHARE`] | tokens that were lent to nodes and are not used yet |
+//! | the rest | lenders that take over from each other and start with the tokens of [`FIRST_TOKENS`] |
 
 use std::time::Duration;
 
@@ -16,47 +17,49 @@
 
 use crate::mesh::tenants::lenders::RANKS;
 
-/// Part of the spare that nodes use without asking, half of it at once and half over a window.
-/// It spares questions for large tenants, and serves requests while no lender answers.
+/// Fraction of the excess that nodes use without asking a lender, half of it as a burst and half
+/// spread over a window. It saves messages for large tenants, and lets requests run while no lender
+/// answers.
 const FREE_SHARE: f64 = 0.3;
-/// Part of the spare that may be lent before it is needed.
+/// Fraction of the excess that may be lent to nodes before they need it.
 const AHEAD_SHARE: f64 = 0.3;
-/// A lender that knows nothing of what was lent before begins with the tokens of this time.
-/// With none, the requests of its first moments would be refused though their tenant is below
-/// its limit; a whole burst each time would add up where lenders change often.
+/// Time whose tokens, at the tenant's rate, a lender starts with if it doesn't know what was lent
+/// before. Without initial tokens, the first requests would be refused although their tenant is
+/// below its limit; a whole burst at each start would add up if lenders change often.
 const FIRST_TOKENS: Duration = Duration::from_millis(300);
-/// Part of the limit that a node lends while it doesn't know whether the lender is gone. In
-/// the 2.5 s until it knows that is 0.63 of a second's rate; the spare of the users' platform is
-/// 1.5 of it.
+/// Fraction of the limit that a node lends while it doesn't know whether the lender before it is
+/// gone. In the 2.5 s until it knows, that amounts to 0.63 of the tokens of one second; the excess
+/// on the users' platform is 1.5 times those of one second.
 const UNSURE_SHARE: f64 = 0.25;
-/// Part of the limit that a node lends which may be cut off, for its own requests then. As many
-/// as can lend use a quarter of the limit.
+/// Fraction of the limit that a node lends if it may be cut off; it then lends to its own requests
+/// only. All nodes that can lend together use a quarter of the limit.
 const CUT_OFF_SHARE: f64 = UNSURE_SHARE / RANKS as f64;
 
-/// Whether others may lend beside a node that lends.
+/// Whether other nodes may lend the same tenant's tokens at the same time as a node that lends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It alone lends, as far as it knows.
+    /// As far as the node knows, no other node lends.
     Alone,
-    /// The one that it stands in for may lend as well.
+    /// A lender that the node stands in for may still lend as well.
     Unsure,
-    /// It may be cut off, and others go on without it.
+    /// The node may be cut off from the fleet while other nodes continue to lend.
     MayBeCutOff,
 }
 
-/// How exactly limits are to be kept.
+/// Tolerance within which tenants' limits must be kept.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaTolerance {
-    /// The span in which requests are counted.
+    /// Length of the time window in which requests are counted.
     pub window: Duration,
-    /// By which part of the limit all nodes together may exceed it.
+    /// Fraction of the limit by which all nodes together may exceed it.
     pub overshoot: f64,
-    /// By how many requests they may exceed it besides.
+    /// Number of requests per window by which all nodes together may exceed the limit in addition.
     pub slack: f64,
 }
 
 impl Default for QuotaTolerance {
-    /// For a platform that states none: a tenth, over five seconds.
+    /// Returns the tolerance for a platform that specifies none: an overshoot of a tenth, in
+    /// windows of five seconds.
     fn default() -> Self {
         QuotaTolerance {
             window: Duration::from_secs(5),
@@ -66,12 +69,12 @@
     }
 }
 
-/// One tenant's limit in a fleet, with what may be used on top.
+/// One tenant's limit in a fleet, together with the excess that may be used above it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetQuota {
-    /// Tokens a second.
+    /// Tokens per second that the limit allows.
     pub rate: f64,
-    /// The most tokens that a lender saves up.
+    /// Burst of the limit: number of unused tokens that a lender may accumulate.
     pub burst: f64,
     spare: f64,
     window: Duration,
@@ -79,7 +82,7 @@
 }
 
 impl FleetQuota {
-    /// `limit` in a fleet of `nodes`.
+    /// Creates the quota for `limit` in a fleet of `nodes` nodes.
     pub fn new(limit: RateLimit, tolerance: &QuotaTolerance, nodes: usize) -> Self {
         let rate = limit.per_second();
         let burst = limit.burst as f64;
@@ -93,22 +96,22 @@
         }
     }
 
-    /// The most tokens that a node saves up without asking.
+    /// Returns the maximum number of tokens that a node accumulates without asking a lender.
     pub fn free_at_once(&self) -> f64 {
         self.spare * FREE_SHARE / 2.0 / self.nodes
     }
 
-    /// Tokens a second that a node may use without asking.
+    /// Returns the tokens per second that a node may use without asking a lender.
     pub fn free_rate(&self) -> f64 {
         self.free_at_once() / self.window.as_secs_f64()
     }
 
-    /// The most tokens that a node may be lent before it needs them.
+    /// Returns the maximum number of tokens that a node may be lent before it needs them.
     pub fn most_ahead(&self) -> f64 {
         self.spare * AHEAD_SHARE / self.nodes
     }
 
-    /// What a node of this standing may lend.
+    /// Returns the quota with the share of rate and burst that a node of this standing may lend.
     pub fn lent_by(&self, standing: Standing) -> FleetQuota {
         let share = match standing {
             Standing::Alone => 1.0,
@@ -122,17 +125,17 @@
         }
     }
 
-    /// Nodes of the fleet.
+    /// Returns the number of nodes in the fleet.
     pub fn nodes(&self) -> f64 {
         self.nodes
     }
 
-    /// What a lender begins with.
+    /// Returns the number of tokens that a lender starts with.
     pub fn first_tokens(&self) -> f64 {
         (self.rate * FIRST_TOKENS.as_secs_f64()).min(self.most_saved())
     }
 
-    /// The most that a lender saves up: the burst, and at least one request.
+    /// Returns the maximum number of tokens that a lender accumulates: the burst, and at least one.
     pub fn most_saved(&self) -> f64 {
         self.burst.max(1.0)
     }
--- a/crates/coordination/src/mesh/tenants/lender.rs
+++ b/crates/coordination/src/mesh/tenants/lender.rs
@@ -1,9 +1,9 @@
-//! How many tokens a node gets that asks a tenant's lender.
+//! Lending of one tenant's tokens to the nodes that ask for them.
 //!
-//! The lender keeps one token bucket for the tenant. While that holds enough, nodes get what
-//! they ask for, and a little ahead. When it runs out, each node gets the part of the new
-//! tokens that its part of the tenant's requests is, and comes again after a pause, so that a
-//! tenant at many times its limit costs its lender a bounded number of questions.
+//! The lender keeps one token bucket for the tenant. While that holds enough tokens, nodes get as
+//! many as they ask for and some in advance. When it runs out, each node gets a share of the new
+//! tokens in proportion to its share of the tenant's requests and asks again after a pause, so that
+//! a tenant at many times its limit causes a bounded number of questions to its lender.
 
 use std::time::Duration;
 
@@ -11,54 +11,55 @@
 
 use crate::mesh::tenants::fleet_quota::FleetQuota;
 
-/// A node that got less than it asked for asks again after this time. In half of it, on
-/// average, requests of the tenant find no token although there is one; each node asks four
-/// times a second.
+/// Minimum time after which a node that got fewer tokens than it asked for asks again, so each node
+/// asks at most four times a second. For half of this time, on average, the tenant's requests find
+/// no token at the node although the lender has one.
 const PAUSE: Duration = Duration::from_millis(250);
-/// In larger fleets, nodes pause longer, so that a lender is asked at most so often a second.
+/// Maximum number of questions per second to a lender; in larger fleets, nodes pause longer to
+/// keep it.
 const QUESTIONS_A_SECOND: f64 = 400.0;
-/// The time over which a tenant's requests are counted to tell how many come a second: two
-/// pauses, so that each node's requests are among them.
+/// Time constant of the exponentially decaying count from which a tenant's requests per second are
+/// estimated. It is two pauses long, so that each node's requests are included.
 const DEMAND_TIME: Duration = Duration::from_millis(500);
-/// Tokens are lent ahead only while more than this part of the burst is left.
+/// Fraction of the burst that must be left for tokens to be lent in advance.
 const AMPLE: f64 = 0.5;
 
-/// What a node asks for.
+/// Question with which a node asks the lender for tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Question {
-    /// Requests that wait for a token.
+    /// Number of requests that wait for a token.
     pub wanted: u32,
-    /// Requests that came since the node asked last, whatever became of them.
+    /// Number of requests that arrived since the node last asked, whether or not they ran.
     pub arrived: u32,
-    /// Requests that the node expects soon after.
+    /// Number of requests that the node expects soon after.
     pub expected: u32,
 }
 
-/// What it gets.
+/// Answer of the lender to a [`Question`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Loan {
-    /// Tokens.
+    /// Number of tokens lent.
     pub tokens: u32,
-    /// How long the node is not to ask again; zero if there was enough.
+    /// Time for which the node must not ask again; zero if there were enough tokens.
     pub pause: Duration,
-    /// Tokens a second that the node may expect while its tenant is at its limit; zero if
-    /// it isn't.
+    /// Tokens per second that the node can expect while its tenant is at its limit; zero if the
+    /// tenant is below its limit.
     pub rate: f64,
 }
 
-/// The tokens of one tenant.
+/// Token bucket of one tenant, from which nodes are lent tokens.
 #[derive(Clone, Debug)]
 pub struct Lender {
     tokens: f64,
     refilled: Timestamp,
-    /// Requests that nodes told of, counted less the longer ago that was.
+    /// Exponentially decaying count of the requests that nodes reported.
     demand: f64,
-    /// Whether there was not enough for the last question.
+    /// Whether there were too few tokens for the last question.
     is_short: bool,
 }
 
 impl Lender {
-    /// A lender that does not know what was lent before.
+    /// Creates a lender that doesn't know what was lent before.
     pub fn starting(now: Timestamp, quota: &FleetQuota) -> Self {
         Lender {
             tokens: quota.first_tokens(),
@@ -68,7 +69,8 @@
         }
     }
 
-    /// A lender that has lent nothing for `idle` and was the tenant's lender all the time.
+    /// Creates a lender for a node that was the tenant's lender for all of `idle` and lent nothing
+    /// in this time.
     pub fn rested(now: Timestamp, quota: &FleetQuota, idle: Duration) -> Self {
         let saved = quota.first_tokens() + quota.rate * idle.as_secs_f64();
         Lender {
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Answers a node; `drawn` is from 0 to 1.
+    /// Answers a node's question. `drawn` is a random number from 0 to 1.
     pub fn lend(
         &mut self,
         now: Timestamp,
@@ -100,7 +102,8 @@
         let demand = (self.demand / DEMAND_TIME.as_secs_f64()).max(quota.rate);
         let arrived = f64::from(question.arrived);
         let fair = arrived * quota.rate / demand;
-        // Where a node's part is less than one token, it gets one now and then.
+        // A node whose share is less than one token gets one at random, with its share as the
+        // probability.
         let tokens = (fair + drawn).floor();
         let tokens = tokens.min(wanted).min(self.tokens.floor()).max(0.0);
         self.tokens -= tokens;
@@ -112,18 +115,19 @@
         }
     }
 
-    /// Whether nodes were told of requests lately.
+    /// Returns whether the lender was asked recently: false once the bucket would have refilled
+    /// since the last question.
     pub fn is_in_use(&self, now: Timestamp, quota: &FleetQuota) -> bool {
         let idle = now.saturating_since(self.refilled).as_secs_f64();
         idle * quota.rate < quota.most_saved()
     }
 
-    /// Whether there was not enough for the last question: the tenant is at its limit.
+    /// Returns whether there were too few tokens for the last question: the tenant is at its limit.
     pub fn is_short(&self) -> bool {
         self.is_short
     }
 
-    /// Tokens that are left, and requests a second that nodes told of.
+    /// Returns the number of tokens left and the requests per second that nodes reported.
     pub fn load(&self) -> (f64, f64) {
         (self.tokens, self.demand / DEMAND_TIME.as_secs_f64())
     }
--- a/crates/coordination/src/mesh/tenants/lenders.rs
+++ b/crates/coordination/src/mesh/tenants/lenders.rs
@@ -1,29 +1,29 @@
-//! Which nodes lend the tokens of a tenant.
+//! Selection of the nodes that lend a tenant's tokens.
 //!
-//! Every node ranks the servers' addresses for each tenant by a hash (rendezvous hashing) and
-//! so finds the same ones, without a message; when a server comes or goes, only the tenants
-//! that it is first for change. The first lends, the next ones stand in for those before them
-//! that are gone.
+//! Every node ranks the servers' addresses for each tenant by a hash (rendezvous hashing), so all
+//! nodes select the same lenders without exchanging messages. When a server is added or removed,
+//! the lender changes only for the tenants for which that server ranks first. The first node lends;
+//! the next ones stand in for those before them that are gone.
 //!
-//! Servers with many slots keep their nodes busy with attempts, so that only the half with the
-//! fewest is chosen from.
+//! Servers with many slots keep their nodes busy with attempts, so lenders are chosen only from the
+//! half of the servers with the fewest slots.
 
 use std::net::SocketAddrV4;
 
 use lifthollow_state::mesh::ServerInstance;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How many nodes may come to lend a tenant's tokens.
+/// Number of nodes that may lend a tenant's tokens: the lender and those that stand in for it.
 pub const RANKS: usize = 3;
 
-/// The servers beside whose nodes lenders are chosen.
+/// Addresses of the servers whose nodes may be chosen as lenders.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LenderCandidates {
     addresses: Vec<SocketAddrV4>,
 }
 
 impl LenderCandidates {
-    /// Those among `servers`.
+    /// Selects the candidates among `servers`: the ready ones in the half with the fewest slots.
     pub fn among(servers: &[ServerInstance]) -> Self {
         let ready = servers.iter().filter(|server| server.is_ready());
         let mut by_slots: Vec<_> = ready.map(|one| (one.slots, one.address)).collect();
@@ -39,12 +39,12 @@
         LenderCandidates { addresses }
     }
 
-    /// Their addresses, in order.
+    /// Returns the candidates' addresses, sorted.
     pub fn addresses(&self) -> &[SocketAddrV4] {
         &self.addresses
     }
 
-    /// The servers whose nodes lend the tokens of `tenant`, in their order.
+    /// Returns the servers whose nodes may lend the tokens of `tenant`, the first choice first.
     pub fn lenders(&self, tenant: &str) -> Vec<SocketAddrV4> {
         let rank = |address: &SocketAddrV4| {
             let place = u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port());
--- a/crates/coordination/src/mesh/tenants/missing_nodes.rs
+++ b/crates/coordination/src/mesh/tenants/missing_nodes.rs
@@ -1,11 +1,12 @@
-//! Which nodes did not answer, and whether they can still lend.
+//! Nodes that did not answer, and whether they may still lend.
 //!
-//! A node that stands in for a lender must not lend as much as that one could if both lend at
-//! once. A refused connection says that no process is there. Silence says it only after a time
-//! that no slow node needs for an answer. Neither says so to a node whose own view is old: it may
-//! be cut off itself, and others go on without it. Without that, a third of twelve nodes that
-//! were cut off lent themselves so much that a tenant at 7.5 times its usual had 1.16 of what may
-//! run in 5 s (test `mesh_quota`).
+//! A node that stands in for a lender must not lend the full limit while the lender may still lend
+//! as well. A refused connection shows that no process is running there. A missing answer shows it
+//! only after a time within which even a slow node would have answered. Neither is conclusive for a
+//! node whose own configuration view is old: that node may be cut off itself, while the others
+//! continue without it. Without the check of the view's age, a third of twelve nodes that were cut
+//! off lent themselves so much that a tenant at 7.5 times its usual load ran 1.16 times the requests
+//! that may run in 5 s (test `mesh_quota`).
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -15,24 +16,25 @@
 
 use crate::mesh::tenants::fleet_quota::Standing;
 
-/// A node that has been silent for so long does not lend any more. One that runs ten times
-/// slower answers within 0.3 s, and the view of one that is cut off is older than
-/// [`FRESH_VIEW`] by then.
+/// Time without an answer after which a node is assumed not to lend any more. A node that runs ten
+/// times slower than usual still answers within 0.3 s, and the view of a node that is cut off is
+/// older than [`FRESH_VIEW`] by then.
 const GONE_AFTER: Duration = Duration::from_millis(2500);
-/// A node with an older view may be cut off. Nodes in touch check theirs after 2.0 s at the latest,
-/// if nothing asks them anything, and look each 0.25 s whether it is time. With 1.5 s, a node that
-/// had been idle lent a twelfth of the limit when it began to stand in, and requests below the
-/// limit got 429 (test `a_tenant_below_its_limit_is_served_while_any_one_node_is_away`).
+/// View age above which a node may be cut off. Connected nodes check their view after 2.0 s at the
+/// latest if they receive no requests, and test every 0.25 s whether it is time to. With 1.5 s, a
+/// node that had been idle lent only a twelfth of the limit when it began to stand in, and requests
+/// below the limit were answered with 429 (test
+/// `a_tenant_below_its_limit_is_served_while_any_one_node_is_away`).
 const FRESH_VIEW: Duration = Duration::from_millis(2400);
-/// A node that did not answer is asked again after this time.
+/// Time after which a node that did not answer may be asked again.
 const TRY_AGAIN_AFTER: Duration = Duration::from_millis(300);
 
-/// How a node failed to answer.
+/// Way in which a node failed to answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No process listens there.
+    /// The connection was refused: no process listens at the node's address.
     Refused,
-    /// There was no answer in time.
+    /// The node did not answer in time.
     Silent,
 }
 
@@ -43,25 +45,25 @@
     is_refused: bool,
 }
 
-/// Nodes that did not answer when they were asked last.
+/// Nodes that did not answer when they were last asked.
 #[derive(Clone, Debug, Default)]
 pub struct MissingNodes {
     missing: HashMap<SocketAddrV4, Missing>,
 }
 
 impl MissingNodes {
-    /// Whether `node` is worth a question.
+    /// Returns whether `node` may be asked now: it did not recently fail to answer.
     pub fn may_ask(&self, now: Timestamp, node: SocketAddrV4) -> bool {
         let known = self.missing.get(&node);
         known.is_none_or(|known| now.saturating_since(known.tried) >= TRY_AGAIN_AFTER)
     }
 
-    /// `node` answered.
+    /// Records that `node` answered.
     pub fn answered(&mut self, node: SocketAddrV4) {
         self.missing.remove(&node);
     }
 
-    /// `node` did not answer.
+    /// Records that `node` did not answer.
     pub fn failed(&mut self, now: Timestamp, node: SocketAddrV4, failure: Failure) {
         let known = self.missing.entry(node).or_insert(Missing {
             since: now,
@@ -72,7 +74,8 @@
         known.is_refused = failure == Failure::Refused;
     }
 
-    /// How a node stands that lends after `before`, whose own view is at most `view_age` old.
+    /// Returns the standing of a node that lends after the nodes `before` it. `view_age` is an upper
+    /// bound of the age of the node's own view, `None` if the view was never confirmed.
     pub fn standing(
         &self,
         now: Timestamp,
@@ -94,7 +97,7 @@
         })
     }
 
-    /// Forgets all but `nodes`.
+    /// Forgets all nodes but `nodes`.
     pub fn retain(&mut self, nodes: &[SocketAddrV4]) {
         self.missing.retain(|node, _| nodes.contains(node));
     }
--- a/crates/coordination/src/mesh/tenants/mod.rs
+++ b/crates/coordination/src/mesh/tenants/mod.rs
@@ -1,12 +1,13 @@
-//! Tenants: whose request it is, and whether its tenant may send one more.
+//! Tenants: authentication of requests and enforcement of each tenant's rate limit by all nodes
+//! together.
 //!
-//! 1. [`authentication`]: which tenant a request's key belongs to, and when a node's view is
-//!    too old to tell;
-//! 2. [`borrower`]: whether a node has a token for the tenant, or must ask for some;
-//! 3. [`lenders`]: which nodes lend a tenant's tokens, and [`missing_nodes`] when one stands in
-//!    for another;
-//! 4. [`lender`]: how many a node gets that asks;
-//! 5. [`fleet_quota`]: what all nodes together may use, and how that is divided.
+//! 1. [`authentication`]: finds the tenant that a request's key belongs to, and detects when a
+//!    node's configuration view is too old for that;
+//! 2. [`borrower`]: holds a node's tokens for a tenant and decides when to ask for more;
+//! 3. [`lenders`]: selects the nodes that lend a tenant's tokens, and [`missing_nodes`] decides how
+//!    much a node may lend that stands in for another;
+//! 4. [`lender`]: decides how many tokens an asking node gets;
+//! 5. [`fleet_quota`]: divides among the nodes what all of them together may use.
 
 pub mod authentication;
 pub mod borrower;
--- a/crates/coordination/tests/mesh_authentication.rs
+++ b/crates/coordination/tests/mesh_authentication.rs
@@ -1,4 +1,4 @@
-//! Which tenant a request belongs to, and that keys which were taken away open nothing.
+//! Tests of the authentication of requests and of the rejection of revoked keys.
 
 mod mesh_support;
 
@@ -38,7 +38,8 @@
     Some(KeyDigest::of(text.as_bytes()))
 }
 
-/// The tenant that a request with `key` gets on `route`, from a view that is `age` old.
+/// Authenticates a request with `key` on `route` by a view of this `age` and returns the name of its
+/// tenant.
 fn name(
     table: &KeyTable,
     route: &Route,
@@ -96,7 +97,7 @@
     assert_eq!(name(&table, &closed, key("any"), None), Ok(None));
 }
 
-/// A key that this view does not know may be younger than the view.
+/// A key that a view doesn't contain may be newer than the view.
 #[test]
 fn an_unknown_key_is_denied_for_good_only_by_a_fresh_view() {
     let table = KeyTable::new(&with_tenants(vec![tenant("acme", &["one"])]));
@@ -121,18 +122,18 @@
     assert!(table.authenticate(&closed, key("one"), old, None).is_ok());
 }
 
-/// One node that reads the source, and others that learn from it over several hops.
+/// Chain of nodes: the first one reads the source, and each other one learns from the one before it.
 struct Chain {
     views: Vec<ViewFreshness>,
-    /// The last revision that each node has.
+    /// Last configuration revision that each node has.
     revisions: Vec<u64>,
 }
 
 quickcheck! {
-    /// Whatever is confirmed when, and however long messages take or processes stand still: a
-    /// key that was taken away at some moment is taken by no node more than [`REVOCATION`] later.
-    /// Each step is a node that asks the one before it, or the source, how long that takes on its
-    /// way there and back, and how much time passes until the next one.
+    /// No node accepts a revoked key more than [`REVOCATION`] after its revocation, however long
+    /// messages take or processes are paused. Each step consists of a node that asks the one before
+    /// it, or the source, the times that the request and the response take, and the time until the
+    /// next step.
     fn no_node_takes_a_key_later_than_its_revocation_allows(
         steps: Vec<(u8, u16, u16, u16)>,
         revoked_at: u16
@@ -150,7 +151,7 @@
             let node = usize::from(node) % NODES;
             let asked = now;
             now = now + Duration::from_millis(u64::from(there) % 2000);
-            // What the source, or the node before, says when the question has arrived.
+            // Revision and view age of the source, or of the node before, when the request arrives.
             let (revision, age) = match node {
                 0 => (u64::from(now >= revoked), Some(Duration::ZERO)),
                 _ => (chain.revisions[node - 1], chain.views[node - 1].age(now)),
--- a/crates/coordination/tests/mesh_quota.rs
+++ b/crates/coordination/tests/mesh_quota.rs
@@ -1,5 +1,5 @@
-//! A tenant's limit, kept by all nodes together: how three ways of doing so compare, and what the
-//! one that is built promises.
+//! Tests of a tenant's limit, which all nodes enforce together: compares three ways of enforcing it,
+//! and checks the bounds of the one that is implemented.
 
 mod quota_fleet;
 
@@ -8,12 +8,12 @@
 use quota_fleet::ways::{DemandParts, EqualParts, Lent};
 use quota_fleet::{Outcome, Play, play};
 
-/// Fleets of these sizes are played.
+/// Numbers of nodes of the simulated fleets.
 const SIZES: [usize; 3] = [12, 82, 300];
-/// Limits of a small and of a large tenant: requests a second, and at once.
+/// Limits of a small and of a large tenant: requests per second, and burst in requests.
 const LIMITS: [(f64, u64); 2] = [(14.0, 14), (470.0, 470)];
 const SEED: u64 = 1;
-/// Of a tenant's requests below its limit, so many may be refused for it.
+/// Fraction of a tenant's requests below its limit that may be refused because of the limit.
 const REFUSED_BELOW_LIMIT: f64 = 0.005;
 
 fn tolerance() -> QuotaTolerance {
@@ -81,7 +81,7 @@
     play(one, limit, &tolerance(), SEED, &mut way)
 }
 
-/// With `--nocapture`, prints the table of docs/design/quotas.md.
+/// Prints the table of docs/design/quotas.md if run with `--nocapture`.
 #[test]
 fn lent_tokens_refuse_less_than_parts_do_and_keep_the_limit() {
     println!("nodes, limit, play: worst window, refused below the limit, messages a request");
--- a/crates/coordination/tests/quota_fleet/mod.rs
+++ b/crates/coordination/tests/quota_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet that keeps one tenant's limit, without a network: requests come to its nodes, nodes
-//! are cut off or killed, and messages take their time.
+//! Simulation of a fleet that enforces one tenant's limit, without a network: requests arrive at its
+//! nodes, nodes are cut off or killed, and messages are delayed.
 
 pub mod ways;
 
@@ -12,36 +12,36 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-/// How long a message takes from one node to another.
+/// Time that a message takes from one node to another.
 pub const DELAY: Duration = Duration::from_millis(2);
-/// How long a play lasts.
+/// Duration of a simulation, in seconds.
 const LENGTH: f64 = 30.0;
-/// The steps in which time passes.
+/// Time step of a simulation, in seconds.
 const STEP: f64 = 0.001;
 
 pub fn at(seconds: f64) -> Timestamp {
     Timestamp::from_micros((seconds * 1e6) as u64)
 }
 
-/// A span of a play, seconds.
+/// Period of a simulation, in seconds from its start.
 pub type Span = Range<f64>;
 
-/// What happens to a fleet.
+/// Load and faults of a simulated fleet.
 #[derive(Clone, Debug)]
 pub struct Play {
     pub name: &'static str,
     pub nodes: usize,
-    /// Requests a second that the tenant sends as a rule, as a part of its limit.
+    /// Requests per second that the tenant usually sends, as a fraction of its limit.
     pub load: f64,
-    /// It sends so many times that in this span.
+    /// Factor by which the tenant sends more requests than usual, and the period of that.
     pub surge: Option<(f64, Span)>,
-    /// All its requests come to one node.
+    /// Whether all of the tenant's requests arrive at one node.
     pub at_one_node: bool,
-    /// The nodes that are cut off from all others, and when.
+    /// Nodes that are cut off from all others, and the period of that.
     pub cut: Option<(Range<usize>, Span)>,
-    /// The lender's process is killed, and back after this span.
+    /// Period at whose start the lender's process is killed and at whose end it runs again.
     pub lender_killed: Option<Span>,
-    /// All processes are killed.
+    /// Period at whose start all processes are killed and at whose end they run again.
     pub all_killed: Option<Span>,
 }
 
@@ -73,7 +73,7 @@
             .is_some_and(|(nodes, span)| nodes.contains(&node) && span.contains(&time))
     }
 
-    /// How long a node has been cut off.
+    /// Returns the time for which a node has been cut off; zero if it isn't.
     pub fn cut_off_for(&self, node: usize, time: f64) -> Duration {
         let since = self.cut.as_ref().map_or(time, |(_, span)| span.start);
         match self.is_cut(node, time) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Whether messages go from one node to another.
+    /// Returns whether messages get from one node to another.
     pub fn is_connected(&self, one: usize, other: usize, time: f64) -> bool {
         one == other || !self.is_cut(one, time) && !self.is_cut(other, time)
     }
@@ -94,34 +94,35 @@
     }
 }
 
-/// A way in which a fleet keeps a limit.
+/// Strategy by which a fleet enforces a limit.
 pub trait Way {
-    /// Which node lends, as far as one does.
+    /// Returns the node that lends tokens, if the strategy has one.
     fn lender(&self) -> usize {
         0
     }
-    /// A request comes to `node`. True if it runs, false if it doesn't, none if it waits.
+    /// Handles a request that arrives at `node`. Returns whether it runs, or `None` if it waits.
     fn arrive(&mut self, play: &Play, time: f64, node: usize) -> Option<bool>;
-    /// Time has passed; gives how many of the requests that waited run now.
+    /// Advances the simulation to `time` and returns how many of the waiting requests run now.
     fn pass(&mut self, play: &Play, time: f64) -> usize;
-    /// Messages sent so far.
+    /// Returns the number of messages sent so far.
     fn messages(&self) -> usize;
-    /// A process starts anew and knows nothing.
+    /// Restarts the process of `node`, which loses all its state.
     fn restarted(&mut self, play: &Play, time: f64, node: usize);
 }
 
-/// What came of a play.
+/// Result of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
-    /// The most requests that ran in a window, as a part of what may.
+    /// Maximum number of requests that ran in a window, as a fraction of those that may run.
     pub worst_window: f64,
-    /// Requests refused that one bucket for all would have let run, as a part of those.
+    /// Requests refused that one token bucket for the whole fleet would have admitted, as a fraction
+    /// of those that it admits.
     pub refused_below_limit: f64,
-    /// Messages for each request.
+    /// Average number of messages per request.
     pub messages: f64,
 }
 
-/// Plays with requests drawn from `seed`.
+/// Runs a simulation of `play` with requests drawn from `seed`.
 pub fn play(
     play: &Play,
     limit: RateLimit,
--- a/crates/coordination/tests/quota_fleet/ways.rs
+++ b/crates/coordination/tests/quota_fleet/ways.rs
@@ -1,4 +1,4 @@
-//! Three ways to keep a limit.
+//! Three strategies by which a fleet enforces a limit.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -13,11 +13,11 @@
 
 use super::{DELAY, Play, Way, at};
 
-/// Nodes tell each other of their requests so often.
+/// Interval at which nodes report their requests to each other, in seconds.
 const TOLD_EVERY: f64 = 0.25;
-/// What a node told counts so long.
+/// Time after which a node's report expires, in seconds.
 const TOLD_COUNTS: f64 = 3.0;
-/// The lender and the nodes that stand in for it have so long to answer.
+/// Time within which the lender, and each node that stands in for it, must answer, in seconds.
 const ANSWER_LIMIT: f64 = 0.1;
 
 #[derive(Clone, Copy)]
@@ -39,7 +39,7 @@
     }
 }
 
-/// Each node has an equal part.
+/// Strategy that gives each node an equal share of the limit.
 pub struct EqualParts {
     limit: RateLimit,
     buckets: Vec<Bucket>,
@@ -84,8 +84,8 @@
     }
 }
 
-/// Each node has the part of the limit that its requests are of all, as far as it was told.
-/// Messages that travel anyway tell of them, and reach all others.
+/// Strategy that gives each node a share of the limit in proportion to its share of all requests that
+/// it knows of. Nodes report their requests in messages that are sent to all others anyway.
 pub struct DemandParts {
     limit: RateLimit,
     nodes: Vec<DemandNode>,
@@ -167,7 +167,7 @@
     }
 }
 
-/// One node lends tokens to those that ask: the way that is built.
+/// Strategy in which one node lends tokens to those that ask; it is the one that is implemented.
 pub struct Lent {
     quota: FleetQuota,
     ranked: Vec<usize>,
@@ -175,7 +175,8 @@
     waiting: Vec<usize>,
     lenders: BTreeMap<usize, Lender>,
     missing: BTreeMap<usize, MissingNodes>,
-    /// When answers arrive, and where.
+    /// Answers on their way: time of arrival, asking node, time of the question, and the loan, if any
+    /// lender answered.
     answers: Vec<(f64, usize, f64, Option<Loan>)>,
     sent: usize,
 }
