--- a/crates/coordination/src/mesh/tenants/authentication.rs
+++ b/crates/coordination/src/mesh/tenants/authentication.rs
@@ -17,9 +17,9 @@
 /// here. It shortens the time for which a node serves without the source by 0.05 of 5 s.
 const REVOCATION_MARGIN: f64 = 0.05;
 /// View age from which an unknown key is not rejected as unknown, because the key may be newer than
-/// the view; its sender is asked to retry. Views of connected nodes are at most 1.3 s old, and a new
-/// configuration must take effect within 2 s.
-const CONCLUSIVE_VIEW: Duration = Duration::from_secs(2);
+/// the view; its sender is asked to retry. Views of connected nodes are at most 1.3 s old, and a
+/// new configuration must take effect within 2 s.
+const CONCLUSIVE_VIEW_AGE: Duration = Duration::from_secs(2);
 
 /// Reason why a request is rejected by authentication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -79,9 +79,9 @@
         self.by_name.get(name)
     }
 
-    /// Returns the tenant of a request on `route` with `key`, or `None` if there is no tenant for it
-    /// and the route needs no key. `view_age` is an upper bound of the age of the configuration
-    /// view, `None` if the view was never confirmed. Without `oldest`, keys are accepted
+    /// Returns the tenant of a request on `route` with `key`, or `None` if there is no tenant for
+    /// it and the route needs no key. `view_age` is an upper bound of the age of the configuration
+    /// view, `None` if the view was never confirmed. Without `max_view_age`, keys are accepted
     /// whatever the age of the view is.
     ///
     /// # Errors
@@ -93,33 +93,33 @@
         route: &Route,
         key: Option<KeyDigest>,
         view_age: Option<Duration>,
-        oldest: Option<OldestView>,
+        max_view_age: Option<OldestView>,
     ) -> Result<Option<Arc<Tenant>>, Denial> {
         if !self.has_tenants {
             return Ok(None);
         }
-        match self.tenant_of(key, view_age, oldest) {
+        match self.tenant_by_key(key, view_age, max_view_age) {
             Ok(tenant) => Ok(Some(tenant)),
             Err(_) if !route.needs_key => Ok(None),
             Err(denial) => Err(denial),
         }
     }
 
-    fn tenant_of(
+    fn tenant_by_key(
         &self,
         key: Option<KeyDigest>,
         view_age: Option<Duration>,
-        oldest: Option<OldestView>,
+        max_view_age: Option<OldestView>,
     ) -> Result<Arc<Tenant>, Denial> {
         let key = key.ok_or(Denial::NoKey)?;
         let is_older_than = |limit: Duration| view_age.is_none_or(|age| age >= limit);
         let Some(tenant) = self.by_key.get(&key) else {
-            return Err(match is_older_than(CONCLUSIVE_VIEW) {
+            return Err(match is_older_than(CONCLUSIVE_VIEW_AGE) {
                 true => Denial::ViewTooOld,
                 false => Denial::UnknownKey,
             });
         };
-        if oldest.is_some_and(|OldestView(limit)| is_older_than(limit)) {
+        if max_view_age.is_some_and(|OldestView(limit)| is_older_than(limit)) {
             return Err(Denial::ViewTooOld);
         }
         Ok(tenant.clone())
--- a/crates/coordination/src/mesh/tenants/borrower.rs
+++ b/crates/coordination/src/mesh/tenants/borrower.rs
@@ -12,15 +12,15 @@
 use crate::mesh::tenants::lender::{Loan, Question};
 
 /// Time after which borrowed tokens that were not used expire.
-const LOAN_TIME: Duration = Duration::from_secs(1);
+const LOAN_EXPIRY: Duration = Duration::from_secs(1);
 /// Time for whose expected requests a node asks for tokens in advance.
-const AHEAD_TIME: Duration = Duration::from_millis(500);
+const PREFETCH_TIME: Duration = Duration::from_millis(500);
 /// Time constant of the exponentially decaying count of a tenant's requests at this node.
-const DEMAND_TIME: Duration = Duration::from_secs(1);
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(1);
 /// Time after which a node asks again if no lender answered.
-const UNANSWERED_PAUSE: Duration = Duration::from_millis(200);
+const ASK_AGAIN_AFTER: Duration = Duration::from_millis(200);
 /// Maximum retry delay given to callers whose tenant is over its limit.
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(3);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(3);
 
 /// Result of taking a token for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
 
 /// Reason why a node doesn't ask the lender for tokens for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Closed {
+enum NoAskReason {
     AtLimit,
     Unanswered,
 }
@@ -46,75 +46,76 @@
 /// State of one tenant's tokens at a node.
 #[derive(Clone, Debug)]
 pub struct Borrower {
-    lent: u32,
+    lent_tokens: u32,
     lent_until: Timestamp,
-    free: f64,
-    counted: Timestamp,
+    free_tokens: f64,
+    updated_at: Timestamp,
     /// Exponentially decaying count of the tenant's requests at this node.
     demand: f64,
-    arrived_since_question: u32,
+    arrived_since_ask: u32,
     waiting: u32,
-    closed: Option<(Closed, Timestamp)>,
-    refused_since_closed: u32,
-    rate: f64,
+    no_ask_until: Option<(NoAskReason, Timestamp)>,
+    refused_since_answer: u32,
+    expected_rate: f64,
 }
 
 impl Borrower {
     /// Creates the state of a node that has not asked for tokens yet.
     pub fn new(now: Timestamp, quota: &FleetQuota) -> Self {
         Borrower {
-            lent: 0,
+            lent_tokens: 0,
             lent_until: now,
-            free: quota.free_at_once(),
-            counted: now,
+            free_tokens: quota.free_burst(),
+            updated_at: now,
             demand: 0.0,
-            arrived_since_question: 0,
+            arrived_since_ask: 0,
             waiting: 0,
-            closed: None,
-            refused_since_closed: 0,
-            rate: 0.0,
+            no_ask_until: None,
+            refused_since_answer: 0,
+            expected_rate: 0.0,
         }
     }
 
     /// Counts a new request and takes a token for it if there is one.
     pub fn arrive(&mut self, now: Timestamp, quota: &FleetQuota) -> Taken {
-        self.count(now, quota);
+        self.update_counters(now, quota);
         self.demand += 1.0;
-        self.arrived_since_question = self.arrived_since_question.saturating_add(1);
-        self.take(now)
+        self.arrived_since_ask = self.arrived_since_ask.saturating_add(1);
+        self.take_token(now)
     }
 
     /// Takes a token, if there is one, for a request that waited for the lender's answer.
     pub fn take_after_answer(&mut self, now: Timestamp, quota: &FleetQuota) -> Taken {
-        self.count(now, quota);
-        self.take(now)
+        self.update_counters(now, quota);
+        self.take_token(now)
     }
 
-    fn take(&mut self, now: Timestamp) -> Taken {
-        if self.lent > 0 && now < self.lent_until {
-            self.lent -= 1;
+    fn take_token(&mut self, now: Timestamp) -> Taken {
+        if self.lent_tokens > 0 && now < self.lent_until {
+            self.lent_tokens -= 1;
             return Taken::Token;
         }
-        if self.free >= 1.0 {
-            self.free -= 1.0;
+        if self.free_tokens >= 1.0 {
+            self.free_tokens -= 1.0;
             return Taken::Token;
         }
-        match self.closed {
-            Some((why, until)) if now < until => self.refuse(why, until.saturating_since(now)),
+        match self.no_ask_until {
+            Some((cause, until)) if now < until => self.refuse(cause, until.saturating_since(now)),
             _ => Taken::AskLender,
         }
     }
 
-    fn refuse(&mut self, why: Closed, left: Duration) -> Taken {
-        if why == Closed::Unanswered {
+    fn refuse(&mut self, cause: NoAskReason, left: Duration) -> Taken {
+        if cause == NoAskReason::Unanswered {
             return Taken::Unanswered(left);
         }
-        self.refused_since_closed = self.refused_since_closed.saturating_add(1);
-        // Spreads the retries of refused callers over the time in which tokens for them are expected.
-        let place = f64::from(self.refused_since_closed);
-        let spread = place / self.rate.max(1.0 / LONGEST_RETRY_AFTER.as_secs_f64());
-        let spread = Duration::from_secs_f64(spread.min(LONGEST_RETRY_AFTER.as_secs_f64()));
-        Taken::OverLimit((left + spread).min(LONGEST_RETRY_AFTER))
+        self.refused_since_answer = self.refused_since_answer.saturating_add(1);
+        // Spreads the retries of refused callers over the time in which tokens for them are
+        // expected.
+        let position = f64::from(self.refused_since_answer);
+        let spread = position / self.expected_rate.max(1.0 / MAX_RETRY_AFTER.as_secs_f64());
+        let spread = Duration::from_secs_f64(spread.min(MAX_RETRY_AFTER.as_secs_f64()));
+        Taken::OverLimit((left + spread).min(MAX_RETRY_AFTER))
     }
 
     /// Records that a request begins to wait for the lender's answer.
@@ -129,11 +130,12 @@
 
     /// Returns the question to send to the lender now.
     pub fn question(&mut self, now: Timestamp, quota: &FleetQuota) -> Question {
-        self.count(now, quota);
-        let expected = self.demand / DEMAND_TIME.as_secs_f64() * AHEAD_TIME.as_secs_f64();
+        self.update_counters(now, quota);
+        let expected =
+            self.demand / DEMAND_TIME_CONSTANT.as_secs_f64() * PREFETCH_TIME.as_secs_f64();
         Question {
             wanted: self.waiting.max(1),
-            arrived: std::mem::take(&mut self.arrived_since_question),
+            arrived: std::mem::take(&mut self.arrived_since_ask),
             expected: expected as u32,
         }
     }
@@ -141,50 +143,51 @@
     /// Records the lender's answer to the question that was sent at `asked`.
     pub fn answered(&mut self, now: Timestamp, asked: Timestamp, loan: Loan) {
         if now >= self.lent_until {
-            self.lent = 0;
+            self.lent_tokens = 0;
         }
-        self.lent = self.lent.saturating_add(loan.tokens);
-        // The loan expires relative to the time of the question, as the answer may have been delayed.
-        self.lent_until = (asked + LOAN_TIME).max(self.lent_until.min(now + LOAN_TIME));
-        self.rate = loan.rate;
-        self.refused_since_closed = 0;
+        self.lent_tokens = self.lent_tokens.saturating_add(loan.tokens);
+        // The loan expires relative to the time of the question, as the answer may have been
+        // delayed.
+        self.lent_until = (asked + LOAN_EXPIRY).max(self.lent_until.min(now + LOAN_EXPIRY));
+        self.expected_rate = loan.rate;
+        self.refused_since_answer = 0;
         let is_at_limit = !loan.pause.is_zero();
-        self.closed = is_at_limit.then(|| (Closed::AtLimit, now + loan.pause));
+        self.no_ask_until = is_at_limit.then(|| (NoAskReason::AtLimit, now + loan.pause));
     }
 
     /// Records that no lender answered.
     pub fn unanswered(&mut self, now: Timestamp) {
-        self.closed = Some((Closed::Unanswered, now + UNANSWERED_PAUSE));
+        self.no_ask_until = Some((NoAskReason::Unanswered, now + ASK_AGAIN_AFTER));
     }
 
     /// Takes back the token of a request that did not run.
     pub fn give_back(&mut self, now: Timestamp) {
         if now >= self.lent_until {
-            self.lent = 0;
-            self.lent_until = now + LOAN_TIME;
+            self.lent_tokens = 0;
+            self.lent_until = now + LOAN_EXPIRY;
         }
-        self.lent = self.lent.saturating_add(1);
+        self.lent_tokens = self.lent_tokens.saturating_add(1);
     }
 
     /// Returns whether the tenant is at its limit as far as this node knows.
     pub fn is_at_limit(&self, now: Timestamp) -> bool {
-        self.closed
-            .is_some_and(|(why, until)| why == Closed::AtLimit && now < until)
+        self.no_ask_until
+            .is_some_and(|(cause, until)| cause == NoAskReason::AtLimit && now < until)
     }
 
     /// Returns whether this state equals that of a new borrower, so that it can be dropped.
     pub fn is_idle(&self, now: Timestamp, quota: &FleetQuota) -> bool {
-        let passed = now.saturating_since(self.counted).as_secs_f64();
+        let elapsed = now.saturating_since(self.updated_at).as_secs_f64();
         self.waiting == 0
             && now >= self.lent_until
-            && self.free + quota.free_rate() * passed >= quota.free_at_once()
+            && self.free_tokens + quota.free_rate() * elapsed >= quota.free_burst()
     }
 
-    fn count(&mut self, now: Timestamp, quota: &FleetQuota) {
-        let passed = now.saturating_since(self.counted).as_secs_f64();
-        self.demand *= (-passed / DEMAND_TIME.as_secs_f64()).exp();
-        let free = self.free + quota.free_rate() * passed;
-        self.free = free.min(quota.free_at_once());
-        self.counted = self.counted.max(now);
+    fn update_counters(&mut self, now: Timestamp, quota: &FleetQuota) {
+        let elapsed = now.saturating_since(self.updated_at).as_secs_f64();
+        self.demand *= (-elapsed / DEMAND_TIME_CONSTANT.as_secs_f64()).exp();
+        let free_tokens = self.free_tokens + quota.free_rate() * elapsed;
+        self.free_tokens = free_tokens.min(quota.free_burst());
+        self.updated_at = self.updated_at.max(now);
     }
 }
--- a/crates/coordination/src/mesh/tenants/fleet_quota.rs
+++ b/crates/coordination/src/mesh/tenants/fleet_quota.rs
@@ -8,32 +8,32 @@
 //! | part of the excess | used for |
 //! |---|---|
 //! | [`FREE_SHARE`] | an equal share for each node, used without asking a lender |
-//! | [`AHEAD_SHARE`] | tokens that were lent to nodes and are not used yet |
-//! | the rest | lenders that take over from each other and start with the tokens of [`FIRST_TOKENS`] |
+//! | [`PREFETCH_SHARE`] | tokens that were lent to nodes and are not used yet |
+//! | the rest | lenders that take over from each other and start with the tokens of [`INITIAL_TOKENS_TIME`] |
 
 use std::time::Duration;
 
 use lifthollow_state::mesh::RateLimit;
 
-use crate::mesh::tenants::lenders::RANKS;
+use crate::mesh::tenants::lenders::LENDERS_PER_TENANT;
 
 /// Fraction of the excess that nodes use without asking a lender, half of it as a burst and half
 /// spread over a window. It saves messages for large tenants, and lets requests run while no lender
 /// answers.
 const FREE_SHARE: f64 = 0.3;
 /// Fraction of the excess that may be lent to nodes before they need it.
-const AHEAD_SHARE: f64 = 0.3;
+const PREFETCH_SHARE: f64 = 0.3;
 /// Time whose tokens, at the tenant's rate, a lender starts with if it doesn't know what was lent
 /// before. Without initial tokens, the first requests would be refused although their tenant is
 /// below its limit; a whole burst at each start would add up if lenders change often.
-const FIRST_TOKENS: Duration = Duration::from_millis(300);
+const INITIAL_TOKENS_TIME: Duration = Duration::from_millis(300);
 /// Fraction of the limit that a node lends while it doesn't know whether the lender before it is
 /// gone. In the 2.5 s until it knows, that amounts to 0.63 of the tokens of one second; the excess
 /// on the users' platform is 1.5 times those of one second.
 const UNSURE_SHARE: f64 = 0.25;
 /// Fraction of the limit that a node lends if it may be cut off; it then lends to its own requests
 /// only. All nodes that can lend together use a quarter of the limit.
-const CUT_OFF_SHARE: f64 = UNSURE_SHARE / RANKS as f64;
+const CUT_OFF_SHARE: f64 = UNSURE_SHARE / LENDERS_PER_TENANT as f64;
 
 /// Whether other nodes may lend the same tenant's tokens at the same time as a node that lends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,7 +76,7 @@
     pub rate: f64,
     /// Burst of the limit: number of unused tokens that a lender may accumulate.
     pub burst: f64,
-    spare: f64,
+    excess: f64,
     window: Duration,
     nodes: f64,
 }
@@ -90,25 +90,25 @@
         FleetQuota {
             rate,
             burst,
-            spare: tolerance.overshoot * in_window + tolerance.slack,
+            excess: tolerance.overshoot * in_window + tolerance.slack,
             window: tolerance.window,
             nodes: nodes.max(1) as f64,
         }
     }
 
     /// Returns the maximum number of tokens that a node accumulates without asking a lender.
-    pub fn free_at_once(&self) -> f64 {
-        self.spare * FREE_SHARE / 2.0 / self.nodes
+    pub fn free_burst(&self) -> f64 {
+        self.excess * FREE_SHARE / 2.0 / self.nodes
     }
 
     /// Returns the tokens per second that a node may use without asking a lender.
     pub fn free_rate(&self) -> f64 {
-        self.free_at_once() / self.window.as_secs_f64()
+        self.free_burst() / self.window.as_secs_f64()
     }
 
     /// Returns the maximum number of tokens that a node may be lent before it needs them.
-    pub fn most_ahead(&self) -> f64 {
-        self.spare * AHEAD_SHARE / self.nodes
+    pub fn max_prefetch(&self) -> f64 {
+        self.excess * PREFETCH_SHARE / self.nodes
     }
 
     /// Returns the quota with the share of rate and burst that a node of this standing may lend.
@@ -131,12 +131,12 @@
     }
 
     /// Returns the number of tokens that a lender starts with.
-    pub fn first_tokens(&self) -> f64 {
-        (self.rate * FIRST_TOKENS.as_secs_f64()).min(self.most_saved())
+    pub fn initial_tokens(&self) -> f64 {
+        (self.rate * INITIAL_TOKENS_TIME.as_secs_f64()).min(self.max_saved_tokens())
     }
 
     /// Returns the maximum number of tokens that a lender accumulates: the burst, and at least one.
-    pub fn most_saved(&self) -> f64 {
+    pub fn max_saved_tokens(&self) -> f64 {
         self.burst.max(1.0)
     }
 }
--- a/crates/coordination/src/mesh/tenants/lender.rs
+++ b/crates/coordination/src/mesh/tenants/lender.rs
@@ -14,15 +14,15 @@
 /// Minimum time after which a node that got fewer tokens than it asked for asks again, so each node
 /// asks at most four times a second. For half of this time, on average, the tenant's requests find
 /// no token at the node although the lender has one.
-const PAUSE: Duration = Duration::from_millis(250);
+const MIN_PAUSE: Duration = Duration::from_millis(250);
 /// Maximum number of questions per second to a lender; in larger fleets, nodes pause longer to
 /// keep it.
-const QUESTIONS_A_SECOND: f64 = 400.0;
+const MAX_QUESTIONS_PER_SECOND: f64 = 400.0;
 /// Time constant of the exponentially decaying count from which a tenant's requests per second are
 /// estimated. It is two pauses long, so that each node's requests are included.
-const DEMAND_TIME: Duration = Duration::from_millis(500);
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_millis(500);
 /// Fraction of the burst that must be left for tokens to be lent in advance.
-const AMPLE: f64 = 0.5;
+const MIN_BURST_LEFT_TO_PREFETCH: f64 = 0.5;
 
 /// Question with which a node asks the lender for tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug)]
 pub struct Lender {
     tokens: f64,
-    refilled: Timestamp,
+    refilled_at: Timestamp,
     /// Exponentially decaying count of the requests that nodes reported.
     demand: f64,
     /// Whether there were too few tokens for the last question.
@@ -62,8 +62,8 @@
     /// Creates a lender that doesn't know what was lent before.
     pub fn starting(now: Timestamp, quota: &FleetQuota) -> Self {
         Lender {
-            tokens: quota.first_tokens(),
-            refilled: now,
+            tokens: quota.initial_tokens(),
+            refilled_at: now,
             demand: 0.0,
             is_short: false,
         }
@@ -72,54 +72,54 @@
     /// Creates a lender for a node that was the tenant's lender for all of `idle` and lent nothing
     /// in this time.
     pub fn rested(now: Timestamp, quota: &FleetQuota, idle: Duration) -> Self {
-        let saved = quota.first_tokens() + quota.rate * idle.as_secs_f64();
+        let saved = quota.initial_tokens() + quota.rate * idle.as_secs_f64();
         Lender {
-            tokens: saved.min(quota.most_saved()),
+            tokens: saved.min(quota.max_saved_tokens()),
             ..Lender::starting(now, quota)
         }
     }
 
-    /// Answers a node's question. `drawn` is a random number from 0 to 1.
+    /// Answers a node's question. `random_fraction` is a random number from 0 to 1.
     pub fn lend(
         &mut self,
         now: Timestamp,
         quota: &FleetQuota,
         question: Question,
-        drawn: f64,
+        random_fraction: f64,
     ) -> Loan {
         self.refill(now, quota);
         self.demand += f64::from(question.arrived);
         let wanted = f64::from(question.wanted);
         self.is_short = self.tokens < wanted;
         if !self.is_short {
-            let tokens = wanted + self.ahead(quota, question, wanted);
+            let tokens = wanted + self.prefetched_tokens(quota, question, wanted);
             self.tokens -= tokens;
             return Loan {
                 tokens: tokens as u32,
                 ..Loan::default()
             };
         }
-        let demand = (self.demand / DEMAND_TIME.as_secs_f64()).max(quota.rate);
+        let demand = (self.demand / DEMAND_TIME_CONSTANT.as_secs_f64()).max(quota.rate);
         let arrived = f64::from(question.arrived);
-        let fair = arrived * quota.rate / demand;
+        let fair_share = arrived * quota.rate / demand;
         // A node whose share is less than one token gets one at random, with its share as the
         // probability.
-        let tokens = (fair + drawn).floor();
+        let tokens = (fair_share + random_fraction).floor();
         let tokens = tokens.min(wanted).min(self.tokens.floor()).max(0.0);
         self.tokens -= tokens;
-        let pause = pause(quota);
+        let pause = pause_between_questions(quota);
         Loan {
             tokens: tokens as u32,
             pause,
-            rate: fair / pause.as_secs_f64(),
+            rate: fair_share / pause.as_secs_f64(),
         }
     }
 
     /// Returns whether the lender was asked recently: false once the bucket would have refilled
     /// since the last question.
     pub fn is_in_use(&self, now: Timestamp, quota: &FleetQuota) -> bool {
-        let idle = now.saturating_since(self.refilled).as_secs_f64();
-        idle * quota.rate < quota.most_saved()
+        let idle = now.saturating_since(self.refilled_at).as_secs_f64();
+        idle * quota.rate < quota.max_saved_tokens()
     }
 
     /// Returns whether there were too few tokens for the last question: the tenant is at its limit.
@@ -129,27 +129,30 @@
 
     /// Returns the number of tokens left and the requests per second that nodes reported.
     pub fn load(&self) -> (f64, f64) {
-        (self.tokens, self.demand / DEMAND_TIME.as_secs_f64())
+        (
+            self.tokens,
+            self.demand / DEMAND_TIME_CONSTANT.as_secs_f64(),
+        )
     }
 
-    fn ahead(&self, quota: &FleetQuota, question: Question, wanted: f64) -> f64 {
+    fn prefetched_tokens(&self, quota: &FleetQuota, question: Question, wanted: f64) -> f64 {
         let left = self.tokens - wanted;
-        if left < quota.most_saved() * AMPLE {
+        if left < quota.max_saved_tokens() * MIN_BURST_LEFT_TO_PREFETCH {
             return 0.0;
         }
-        let ahead = f64::from(question.expected).min(quota.most_ahead());
-        ahead.min(left).floor()
+        let prefetched = f64::from(question.expected).min(quota.max_prefetch());
+        prefetched.min(left).floor()
     }
 
     fn refill(&mut self, now: Timestamp, quota: &FleetQuota) {
-        let passed = now.saturating_since(self.refilled).as_secs_f64();
-        self.tokens = (self.tokens + quota.rate * passed).min(quota.most_saved());
-        self.demand *= (-passed / DEMAND_TIME.as_secs_f64()).exp();
-        self.refilled = self.refilled.max(now);
+        let elapsed = now.saturating_since(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + quota.rate * elapsed).min(quota.max_saved_tokens());
+        self.demand *= (-elapsed / DEMAND_TIME_CONSTANT.as_secs_f64()).exp();
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
 
-fn pause(quota: &FleetQuota) -> Duration {
-    let least = Duration::from_secs_f64(quota.nodes() / QUESTIONS_A_SECOND);
-    PAUSE.max(least)
+fn pause_between_questions(quota: &FleetQuota) -> Duration {
+    let min_pause = Duration::from_secs_f64(quota.nodes() / MAX_QUESTIONS_PER_SECOND);
+    MIN_PAUSE.max(min_pause)
 }
--- a/crates/coordination/src/mesh/tenants/lenders.rs
+++ b/crates/coordination/src/mesh/tenants/lenders.rs
@@ -14,7 +14,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Number of nodes that may lend a tenant's tokens: the lender and those that stand in for it.
-pub const RANKS: usize = 3;
+pub const LENDERS_PER_TENANT: usize = 3;
 
 /// Addresses of the servers whose nodes may be chosen as lenders.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -28,11 +28,14 @@
         let ready = servers.iter().filter(|server| server.is_ready());
         let mut by_slots: Vec<_> = ready.map(|one| (one.slots, one.address)).collect();
         by_slots.sort_unstable();
-        let chosen = by_slots.len().div_ceil(2).max(RANKS.min(by_slots.len()));
-        let most = by_slots[..chosen].last().map(|(slots, _)| *slots);
+        let chosen_count = by_slots
+            .len()
+            .div_ceil(2)
+            .max(LENDERS_PER_TENANT.min(by_slots.len()));
+        let max_slots = by_slots[..chosen_count].last().map(|(slots, _)| *slots);
         let eligible = by_slots
             .into_iter()
-            .filter(|(slots, _)| Some(*slots) <= most);
+            .filter(|(slots, _)| Some(*slots) <= max_slots);
         let mut addresses: Vec<_> = eligible.map(|(_, address)| address).collect();
         addresses.sort_unstable();
         addresses.dedup();
@@ -47,11 +50,11 @@
     /// Returns the servers whose nodes may lend the tokens of `tenant`, the first choice first.
     pub fn lenders(&self, tenant: &str) -> Vec<SocketAddrV4> {
         let rank = |address: &SocketAddrV4| {
-            let place = u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port());
-            xxh3_64_with_seed(tenant.as_bytes(), place)
+            let seed = u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port());
+            xxh3_64_with_seed(tenant.as_bytes(), seed)
         };
         let mut ranked: Vec<_> = self.addresses.iter().map(|one| (rank(one), *one)).collect();
-        let count = RANKS.min(ranked.len());
+        let count = LENDERS_PER_TENANT.min(ranked.len());
         if count < ranked.len() {
             ranked.select_nth_unstable(count);
         }
--- a/crates/coordination/src/mesh/tenants/missing_nodes.rs
+++ b/crates/coordination/src/mesh/tenants/missing_nodes.rs
@@ -5,8 +5,8 @@
 //! only after a time within which even a slow node would have answered. Neither is conclusive for a
 //! node whose own configuration view is old: that node may be cut off itself, while the others
 //! continue without it. Without the check of the view's age, a third of twelve nodes that were cut
-//! off lent themselves so much that a tenant at 7.5 times its usual load ran 1.16 times the requests
-//! that may run in 5 s (test `mesh_quota`).
+//! off lent themselves so much that a tenant at 7.5 times its usual load ran 1.16 times the
+//! requests that may run in 5 s (test `mesh_quota`).
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -18,16 +18,16 @@
 
 /// Time without an answer after which a node is assumed not to lend any more. A node that runs ten
 /// times slower than usual still answers within 0.3 s, and the view of a node that is cut off is
-/// older than [`FRESH_VIEW`] by then.
-const GONE_AFTER: Duration = Duration::from_millis(2500);
+/// older than [`MAX_FRESH_VIEW_AGE`] by then.
+const ASSUMED_GONE_AFTER: Duration = Duration::from_millis(2500);
 /// View age above which a node may be cut off. Connected nodes check their view after 2.0 s at the
 /// latest if they receive no requests, and test every 0.25 s whether it is time to. With 1.5 s, a
 /// node that had been idle lent only a twelfth of the limit when it began to stand in, and requests
 /// below the limit were answered with 429 (test
 /// `a_tenant_below_its_limit_is_served_while_any_one_node_is_away`).
-const FRESH_VIEW: Duration = Duration::from_millis(2400);
+const MAX_FRESH_VIEW_AGE: Duration = Duration::from_millis(2400);
 /// Time after which a node that did not answer may be asked again.
-const TRY_AGAIN_AFTER: Duration = Duration::from_millis(300);
+const ASK_AGAIN_AFTER: Duration = Duration::from_millis(300);
 
 /// Way in which a node failed to answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,23 +39,23 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Missing {
-    since: Timestamp,
-    tried: Timestamp,
+struct FailedNode {
+    first_failed_at: Timestamp,
+    last_failed_at: Timestamp,
     is_refused: bool,
 }
 
 /// Nodes that did not answer when they were last asked.
 #[derive(Clone, Debug, Default)]
 pub struct MissingNodes {
-    missing: HashMap<SocketAddrV4, Missing>,
+    missing: HashMap<SocketAddrV4, FailedNode>,
 }
 
 impl MissingNodes {
     /// Returns whether `node` may be asked now: it did not recently fail to answer.
     pub fn may_ask(&self, now: Timestamp, node: SocketAddrV4) -> bool {
-        let known = self.missing.get(&node);
-        known.is_none_or(|known| now.saturating_since(known.tried) >= TRY_AGAIN_AFTER)
+        let entry = self.missing.get(&node);
+        entry.is_none_or(|entry| now.saturating_since(entry.last_failed_at) >= ASK_AGAIN_AFTER)
     }
 
     /// Records that `node` answered.
@@ -65,24 +65,24 @@
 
     /// Records that `node` did not answer.
     pub fn failed(&mut self, now: Timestamp, node: SocketAddrV4, failure: Failure) {
-        let known = self.missing.entry(node).or_insert(Missing {
-            since: now,
-            tried: now,
+        let entry = self.missing.entry(node).or_insert(FailedNode {
+            first_failed_at: now,
+            last_failed_at: now,
             is_refused: false,
         });
-        known.tried = now;
-        known.is_refused = failure == Failure::Refused;
+        entry.last_failed_at = now;
+        entry.is_refused = failure == Failure::Refused;
     }
 
-    /// Returns the standing of a node that lends after the nodes `before` it. `view_age` is an upper
-    /// bound of the age of the node's own view, `None` if the view was never confirmed.
+    /// Returns the standing of a node that lends after the nodes `before` it. `view_age` is an
+    /// upper bound of the age of the node's own view, `None` if the view was never confirmed.
     pub fn standing(
         &self,
         now: Timestamp,
         before: &[SocketAddrV4],
         view_age: Option<Duration>,
     ) -> Standing {
-        if view_age.is_none_or(|age| age > FRESH_VIEW) {
+        if view_age.is_none_or(|age| age > MAX_FRESH_VIEW_AGE) {
             return Standing::MayBeCutOff;
         }
         match before.iter().all(|node| self.is_gone(now, *node)) {
@@ -92,8 +92,8 @@
     }
 
     fn is_gone(&self, now: Timestamp, node: SocketAddrV4) -> bool {
-        self.missing.get(&node).is_some_and(|known| {
-            known.is_refused || now.saturating_since(known.since) >= GONE_AFTER
+        self.missing.get(&node).is_some_and(|entry| {
+            entry.is_refused || now.saturating_since(entry.first_failed_at) >= ASSUMED_GONE_AFTER
         })
     }
 
--- a/crates/coordination/tests/mesh_authentication.rs
+++ b/crates/coordination/tests/mesh_authentication.rs
@@ -25,7 +25,7 @@
     }
 }
 
-fn with_tenants(tenants: Vec<Tenant>) -> Configuration {
+fn configuration_with_tenants(tenants: Vec<Tenant>) -> Configuration {
     let mut open = route("open", "/open/");
     open.needs_key = false;
     Configuration {
@@ -38,91 +38,95 @@
     Some(KeyDigest::of(text.as_bytes()))
 }
 
-/// Authenticates a request with `key` on `route` by a view of this `age` and returns the name of its
-/// tenant.
-fn name(
+/// Authenticates a request with `key` on `route` by a view of this `age` and returns the name of
+/// its tenant.
+fn tenant_name(
     table: &KeyTable,
     route: &Route,
     key: Option<KeyDigest>,
     age: Option<Duration>,
 ) -> Result<Option<String>, Denial> {
-    let oldest = Some(OldestView::for_revocation(REVOCATION));
-    let tenant = table.authenticate(route, key, age, oldest)?;
+    let max_view_age = Some(OldestView::for_revocation(REVOCATION));
+    let tenant = table.authenticate(route, key, age, max_view_age)?;
     Ok(tenant.map(|tenant| tenant.name.clone()))
 }
 
 #[test]
-fn a_request_belongs_to_the_tenant_of_its_key() {
-    let table = KeyTable::new(&with_tenants(vec![
+fn request_with_a_key_is_assigned_to_the_tenant_of_the_key() {
+    let table = KeyTable::new(&configuration_with_tenants(vec![
         tenant("acme", &["one", "two"]),
         tenant("birch", &["three"]),
     ]));
     let closed = route("closed", "/closed/");
     let fresh = Some(ms(100));
     assert_eq!(
-        name(&table, &closed, key("two"), fresh),
+        tenant_name(&table, &closed, key("two"), fresh),
         Ok(Some("acme".to_owned()))
     );
     assert_eq!(
-        name(&table, &closed, key("three"), fresh),
+        tenant_name(&table, &closed, key("three"), fresh),
         Ok(Some("birch".to_owned()))
     );
     assert_eq!(
-        name(&table, &closed, key("four"), fresh),
+        tenant_name(&table, &closed, key("four"), fresh),
         Err(Denial::UnknownKey)
     );
-    assert_eq!(name(&table, &closed, None, fresh), Err(Denial::NoKey));
+    assert_eq!(
+        tenant_name(&table, &closed, None, fresh),
+        Err(Denial::NoKey)
+    );
 }
 
 #[test]
-fn routes_that_need_no_key_take_what_comes_and_tell_whose_it_is_if_that_is_known() {
-    let table = KeyTable::new(&with_tenants(vec![tenant("acme", &["one"])]));
+fn routes_without_required_key_admit_all_requests_and_identify_the_tenant_if_known() {
+    let table = KeyTable::new(&configuration_with_tenants(vec![tenant("acme", &["one"])]));
     let mut open = route("open", "/open/");
     open.needs_key = false;
     let old = Some(Duration::from_secs(60));
-    assert_eq!(name(&table, &open, None, old), Ok(None));
-    assert_eq!(name(&table, &open, key("unknown"), old), Ok(None));
-    assert_eq!(name(&table, &open, key("one"), old), Ok(None));
+    assert_eq!(tenant_name(&table, &open, None, old), Ok(None));
+    assert_eq!(tenant_name(&table, &open, key("unknown"), old), Ok(None));
+    assert_eq!(tenant_name(&table, &open, key("one"), old), Ok(None));
     assert_eq!(
-        name(&table, &open, key("one"), Some(ms(9))),
+        tenant_name(&table, &open, key("one"), Some(ms(9))),
         Ok(Some("acme".to_owned()))
     );
 }
 
 #[test]
-fn without_tenants_no_key_is_asked_for() {
-    let table = KeyTable::new(&with_tenants(Vec::new()));
+fn configuration_without_tenants_requires_no_key() {
+    let table = KeyTable::new(&configuration_with_tenants(Vec::new()));
     let closed = route("closed", "/closed/");
-    assert_eq!(name(&table, &closed, None, None), Ok(None));
-    assert_eq!(name(&table, &closed, key("any"), None), Ok(None));
+    assert_eq!(tenant_name(&table, &closed, None, None), Ok(None));
+    assert_eq!(tenant_name(&table, &closed, key("any"), None), Ok(None));
 }
 
 /// A key that a view doesn't contain may be newer than the view.
 #[test]
-fn an_unknown_key_is_denied_for_good_only_by_a_fresh_view() {
-    let table = KeyTable::new(&with_tenants(vec![tenant("acme", &["one"])]));
+fn unknown_key_is_rejected_as_unknown_only_by_a_fresh_view() {
+    let table = KeyTable::new(&configuration_with_tenants(vec![tenant("acme", &["one"])]));
     let closed = route("closed", "/closed/");
     let old = Some(Duration::from_secs(3));
     assert_eq!(
-        name(&table, &closed, key("new"), old),
+        tenant_name(&table, &closed, key("new"), old),
         Err(Denial::ViewTooOld)
     );
     assert_eq!(
-        name(&table, &closed, key("new"), None),
+        tenant_name(&table, &closed, key("new"), None),
         Err(Denial::ViewTooOld)
     );
-    assert_eq!(name(&table, &closed, None, old), Err(Denial::NoKey));
+    assert_eq!(tenant_name(&table, &closed, None, old), Err(Denial::NoKey));
 }
 
 #[test]
-fn where_revocations_need_not_reach_all_nodes_keys_are_taken_from_old_views() {
-    let table = KeyTable::new(&with_tenants(vec![tenant("acme", &["one"])]));
+fn keys_are_accepted_from_old_views_if_no_revocation_time_is_set() {
+    let table = KeyTable::new(&configuration_with_tenants(vec![tenant("acme", &["one"])]));
     let closed = route("closed", "/closed/");
     let old = Some(Duration::from_secs(60));
     assert!(table.authenticate(&closed, key("one"), old, None).is_ok());
 }
 
-/// Chain of nodes: the first one reads the source, and each other one learns from the one before it.
+/// Chain of nodes: the first one reads the source, and each other one learns from the one before
+/// it.
 struct Chain {
     views: Vec<ViewFreshness>,
     /// Last configuration revision that each node has.
@@ -134,12 +138,12 @@
     /// messages take or processes are paused. Each step consists of a node that asks the one before
     /// it, or the source, the times that the request and the response take, and the time until the
     /// next step.
-    fn no_node_takes_a_key_later_than_its_revocation_allows(
+    fn no_node_accepts_a_revoked_key_after_the_revocation_time(
         steps: Vec<(u8, u16, u16, u16)>,
         revoked_at: u16
     ) -> bool {
         const NODES: usize = 5;
-        let table = KeyTable::new(&with_tenants(vec![tenant("acme", &["one"])]));
+        let table = KeyTable::new(&configuration_with_tenants(vec![tenant("acme", &["one"])]));
         let closed = route("closed", "/closed/");
         let mut chain = Chain {
             views: vec![ViewFreshness::default(); NODES],
@@ -147,28 +151,28 @@
         };
         let revoked = Timestamp::ZERO + Duration::from_millis(u64::from(revoked_at));
         let mut now = Timestamp::ZERO;
-        for (node, there, back, pause) in steps {
+        for (node, request_ms, response_ms, pause_ms) in steps {
             let node = usize::from(node) % NODES;
             let asked = now;
-            now = now + Duration::from_millis(u64::from(there) % 2000);
+            now = now + Duration::from_millis(u64::from(request_ms) % 2000);
             // Revision and view age of the source, or of the node before, when the request arrives.
             let (revision, age) = match node {
                 0 => (u64::from(now >= revoked), Some(Duration::ZERO)),
                 _ => (chain.revisions[node - 1], chain.views[node - 1].age(now)),
             };
-            now = now + Duration::from_millis(u64::from(back) % 2000);
+            now = now + Duration::from_millis(u64::from(response_ms) % 2000);
             if revision >= chain.revisions[node] && let Some(age) = age {
                 chain.revisions[node] = revision;
                 let named = NamedAge { age, held: Duration::ZERO };
                 let age = named.at_most(now.saturating_since(asked));
                 chain.views[node].confirm(now, now.saturating_sub(age));
             }
-            now = now + Duration::from_millis(u64::from(pause) % 3000);
+            now = now + Duration::from_millis(u64::from(pause_ms) % 3000);
             for (view, revision) in chain.views.iter().zip(&chain.revisions) {
                 let is_known_to_be_revoked = *revision > 0;
-                let taken = name(&table, &closed, key("one"), view.age(now)).is_ok();
+                let is_accepted = tenant_name(&table, &closed, key("one"), view.age(now)).is_ok();
                 let is_late = now.saturating_since(revoked) > REVOCATION && now > revoked;
-                if taken && is_late && !is_known_to_be_revoked {
+                if is_accepted && is_late && !is_known_to_be_revoked {
                     return false;
                 }
             }
--- a/crates/coordination/tests/quota_fleet/ways.rs
+++ b/crates/coordination/tests/quota_fleet/ways.rs
@@ -11,14 +11,14 @@
 use lifthollow_coordination::mesh::tenants::missing_nodes::{Failure, MissingNodes};
 use lifthollow_state::mesh::{InstanceId, RateLimit, ServerInstance, ServerState};
 
-use super::{DELAY, Play, Way, at};
+use super::{DELAY, LimitStrategy, Scenario, at};
 
 /// Interval at which nodes report their requests to each other, in seconds.
-const TOLD_EVERY: f64 = 0.25;
+const REPORT_INTERVAL_S: f64 = 0.25;
 /// Time after which a node's report expires, in seconds.
-const TOLD_COUNTS: f64 = 3.0;
+const REPORT_EXPIRY_S: f64 = 3.0;
 /// Time within which the lender, and each node that stands in for it, must answer, in seconds.
-const ANSWER_LIMIT: f64 = 0.1;
+const ANSWER_TIMEOUT_S: f64 = 0.1;
 
 #[derive(Clone, Copy)]
 struct Bucket {
@@ -31,44 +31,44 @@
         let burst = burst.max(1.0);
         self.tokens = (self.tokens + rate * (time - self.refilled)).min(burst);
         self.refilled = time;
-        let has = self.tokens >= 1.0;
-        if has {
+        let has_token = self.tokens >= 1.0;
+        if has_token {
             self.tokens -= 1.0;
         }
-        has
+        has_token
     }
 }
 
 /// Strategy that gives each node an equal share of the limit.
-pub struct EqualParts {
+pub struct EqualShares {
     limit: RateLimit,
     buckets: Vec<Bucket>,
 }
 
-impl EqualParts {
+impl EqualShares {
     pub fn new(limit: RateLimit, nodes: usize) -> Self {
         let full = Bucket {
             tokens: (limit.burst as f64 / nodes as f64).max(1.0),
             refilled: 0.0,
         };
-        EqualParts {
+        EqualShares {
             limit,
             buckets: vec![full; nodes],
         }
     }
 }
 
-impl Way for EqualParts {
-    fn arrive(&mut self, play: &Play, time: f64, node: usize) -> Option<bool> {
-        let part = 1.0 / play.nodes as f64;
+impl LimitStrategy for EqualShares {
+    fn arrive(&mut self, scenario: &Scenario, time: f64, node: usize) -> Option<bool> {
+        let share = 1.0 / scenario.nodes as f64;
         let (rate, burst) = (
-            self.limit.per_second() * part,
-            self.limit.burst as f64 * part,
+            self.limit.per_second() * share,
+            self.limit.burst as f64 * share,
         );
         Some(self.buckets[node].take(time, rate, burst))
     }
 
-    fn pass(&mut self, _play: &Play, _time: f64) -> usize {
+    fn advance(&mut self, _scenario: &Scenario, _time: f64) -> usize {
         0
     }
 
@@ -76,7 +76,7 @@
         0
     }
 
-    fn restarted(&mut self, _play: &Play, time: f64, node: usize) {
+    fn restart(&mut self, _scenario: &Scenario, time: f64, node: usize) {
         self.buckets[node] = Bucket {
             tokens: 1.0,
             refilled: time,
@@ -84,12 +84,12 @@
     }
 }
 
-/// Strategy that gives each node a share of the limit in proportion to its share of all requests that
-/// it knows of. Nodes report their requests in messages that are sent to all others anyway.
-pub struct DemandParts {
+/// Strategy that gives each node a share of the limit in proportion to its share of all requests
+/// that it knows of. Nodes report their requests in messages that are sent to all others anyway.
+pub struct DemandShares {
     limit: RateLimit,
     nodes: Vec<DemandNode>,
-    told: f64,
+    reported: f64,
 }
 
 #[derive(Clone)]
@@ -100,7 +100,7 @@
     others: Vec<(f64, f64)>,
 }
 
-impl DemandParts {
+impl DemandShares {
     pub fn new(limit: RateLimit, nodes: usize) -> Self {
         let node = DemandNode {
             bucket: Bucket {
@@ -111,45 +111,45 @@
             demand: 0.0,
             others: vec![(0.0, 0.0); nodes],
         };
-        DemandParts {
+        DemandShares {
             limit,
             nodes: vec![node; nodes],
-            told: 0.0,
+            reported: 0.0,
         }
     }
 }
 
-impl Way for DemandParts {
-    fn arrive(&mut self, play: &Play, time: f64, node: usize) -> Option<bool> {
-        let known = &mut self.nodes[node];
-        known.counted += 1;
-        let others = known.others.iter().enumerate();
-        let fresh = others.filter(|(other, (_, at))| *other != node && time - at < TOLD_COUNTS);
+impl LimitStrategy for DemandShares {
+    fn arrive(&mut self, scenario: &Scenario, time: f64, node: usize) -> Option<bool> {
+        let state = &mut self.nodes[node];
+        state.counted += 1;
+        let others = state.others.iter().enumerate();
+        let fresh = others.filter(|(other, (_, at))| *other != node && time - at < REPORT_EXPIRY_S);
         let others: f64 = fresh.map(|(_, (demand, _))| demand).sum();
-        let own = known.demand.max(1.0 / TOLD_COUNTS);
-        let equal = 1.0 / play.nodes as f64;
-        let part = (own / (own + others)).max(equal / 2.0);
+        let own = state.demand.max(1.0 / REPORT_EXPIRY_S);
+        let equal = 1.0 / scenario.nodes as f64;
+        let share = (own / (own + others)).max(equal / 2.0);
         let (rate, burst) = (
-            self.limit.per_second() * part,
-            self.limit.burst as f64 * part,
+            self.limit.per_second() * share,
+            self.limit.burst as f64 * share,
         );
-        Some(known.bucket.take(time, rate, burst))
+        Some(state.bucket.take(time, rate, burst))
     }
 
-    fn pass(&mut self, play: &Play, time: f64) -> usize {
-        if time - self.told < TOLD_EVERY {
+    fn advance(&mut self, scenario: &Scenario, time: f64) -> usize {
+        if time - self.reported < REPORT_INTERVAL_S {
             return 0;
         }
-        self.told = time;
+        self.reported = time;
         for node in &mut self.nodes {
-            let demand = f64::from(std::mem::take(&mut node.counted)) / TOLD_EVERY;
+            let demand = f64::from(std::mem::take(&mut node.counted)) / REPORT_INTERVAL_S;
             node.demand = node.demand * 0.75 + demand * 0.25;
         }
         let demands: Vec<f64> = self.nodes.iter().map(|node| node.demand).collect();
-        for (node, known) in self.nodes.iter_mut().enumerate() {
+        for (node, state) in self.nodes.iter_mut().enumerate() {
             for (other, demand) in demands.iter().enumerate() {
-                if play.is_connected(node, other, time) && play.is_running(other, 0, time) {
-                    known.others[other] = (*demand, time);
+                if scenario.is_connected(node, other, time) && scenario.is_running(other, 0, time) {
+                    state.others[other] = (*demand, time);
                 }
             }
         }
@@ -160,25 +160,25 @@
         0
     }
 
-    fn restarted(&mut self, play: &Play, time: f64, node: usize) {
-        let fresh = DemandParts::new(self.limit, play.nodes);
+    fn restart(&mut self, scenario: &Scenario, time: f64, node: usize) {
+        let fresh = DemandShares::new(self.limit, scenario.nodes);
         self.nodes[node] = fresh.nodes[node].clone();
         self.nodes[node].bucket.refilled = time;
     }
 }
 
 /// Strategy in which one node lends tokens to those that ask; it is the one that is implemented.
-pub struct Lent {
+pub struct LentTokens {
     quota: FleetQuota,
     ranked: Vec<usize>,
     borrowers: Vec<Borrower>,
     waiting: Vec<usize>,
     lenders: BTreeMap<usize, Lender>,
     missing: BTreeMap<usize, MissingNodes>,
-    /// Answers on their way: time of arrival, asking node, time of the question, and the loan, if any
-    /// lender answered.
+    /// Answers on their way: time of arrival, asking node, time of the question, and the loan, if
+    /// any lender answered.
     answers: Vec<(f64, usize, f64, Option<Loan>)>,
-    sent: usize,
+    messages_sent: usize,
 }
 
 fn address(node: usize) -> SocketAddrV4 {
@@ -199,13 +199,13 @@
     (0..nodes).map(server).collect()
 }
 
-impl Lent {
+impl LentTokens {
     pub fn new(limit: RateLimit, tolerance: &QuotaTolerance, nodes: usize) -> Self {
         let quota = FleetQuota::new(limit, tolerance, nodes);
         let candidates = LenderCandidates::among(&servers(nodes));
         let ranked = candidates.lenders("tenant");
-        let node_at = |place: SocketAddrV4| (0..nodes).find(|node| address(*node) == place);
-        Lent {
+        let node_at = |wanted: SocketAddrV4| (0..nodes).find(|node| address(*node) == wanted);
+        LentTokens {
             quota,
             ranked: ranked.into_iter().filter_map(node_at).collect(),
             borrowers: vec![Borrower::new(at(0.0), &quota); nodes],
@@ -213,42 +213,48 @@
             lenders: BTreeMap::new(),
             missing: BTreeMap::new(),
             answers: Vec::new(),
-            sent: 0,
+            messages_sent: 0,
         }
     }
 
-    fn reaches(&self, play: &Play, time: f64, from: usize, to: usize) -> Option<Failure> {
-        if !play.is_connected(from, to, time) {
+    fn connection_failure(
+        &self,
+        scenario: &Scenario,
+        time: f64,
+        from: usize,
+        to: usize,
+    ) -> Option<Failure> {
+        if !scenario.is_connected(from, to, time) {
             return Some(Failure::Silent);
         }
-        let is_running = play.is_running(to, self.ranked[0], time);
+        let is_running = scenario.is_running(to, self.ranked[0], time);
         (!is_running).then_some(Failure::Refused)
     }
 
-    fn ask(&mut self, play: &Play, time: f64, node: usize) {
+    fn ask(&mut self, scenario: &Scenario, time: f64, node: usize) {
         let question = self.borrowers[node].question(at(time), &self.quota);
-        let mut passed = time;
+        let mut now = time;
         let mut loan = None;
         for rank in self.ranked.clone() {
-            if !self.may_ask(passed, node, rank) {
+            if !self.may_ask(now, node, rank) {
                 continue;
             }
-            if let Some(failure) = self.reaches(play, passed, node, rank) {
-                self.fail(passed, node, rank, failure);
-                passed += match failure {
+            if let Some(failure) = self.connection_failure(scenario, now, node, rank) {
+                self.record_failure(now, node, rank, failure);
+                now += match failure {
                     Failure::Refused => DELAY.as_secs_f64() * 2.0,
-                    Failure::Silent => ANSWER_LIMIT,
+                    Failure::Silent => ANSWER_TIMEOUT_S,
                 };
                 continue;
             }
             if rank != node {
-                self.sent += 2;
-                passed += DELAY.as_secs_f64() * 2.0;
+                self.messages_sent += 2;
+                now += DELAY.as_secs_f64() * 2.0;
             }
-            loan = Some(self.lend(play, passed, rank, question));
+            loan = Some(self.lend(scenario, now, rank, question));
             break;
         }
-        self.answers.push((passed, node, time, loan));
+        self.answers.push((now, node, time, loan));
     }
 
     fn may_ask(&mut self, time: f64, node: usize, other: usize) -> bool {
@@ -256,36 +262,36 @@
         missing.may_ask(at(time), address(other))
     }
 
-    fn fail(&mut self, time: f64, node: usize, other: usize, failure: Failure) {
+    fn record_failure(&mut self, time: f64, node: usize, other: usize, failure: Failure) {
         let missing = self.missing.entry(node).or_default();
         missing.failed(at(time), address(other), failure);
     }
 
-    fn lend(&mut self, play: &Play, time: f64, node: usize, question: Question) -> Loan {
+    fn lend(&mut self, scenario: &Scenario, time: f64, node: usize, question: Question) -> Loan {
         let before = self.ranked.iter().take_while(|other| **other != node);
         let before: Vec<usize> = before.copied().collect();
         for other in &before {
-            match self.reaches(play, time, node, *other) {
+            match self.connection_failure(scenario, time, node, *other) {
                 None => {
-                    self.sent += 2;
-                    return self.lend_own(play, time, *other, question, &[]);
+                    self.messages_sent += 2;
+                    return self.lend_own(scenario, time, *other, question, &[]);
                 }
-                Some(failure) => self.fail(time, node, *other, failure),
+                Some(failure) => self.record_failure(time, node, *other, failure),
             }
         }
-        self.lend_own(play, time, node, question, &before)
+        self.lend_own(scenario, time, node, question, &before)
     }
 
     fn lend_own(
         &mut self,
-        play: &Play,
+        scenario: &Scenario,
         time: f64,
         node: usize,
         question: Question,
         before: &[usize],
     ) -> Loan {
         let before: Vec<_> = before.iter().map(|other| address(*other)).collect();
-        let view_age = Some(play.cut_off_for(node, time));
+        let view_age = Some(scenario.cut_off_for(node, time));
         let missing = self.missing.entry(node).or_default();
         let standing = missing.standing(at(time), &before, view_age);
         let quota = self.quota.lent_by(standing);
@@ -300,7 +306,13 @@
         lender.lend(at(time), &quota, question, 0.5)
     }
 
-    fn note(&mut self, play: &Play, time: f64, node: usize, taken: Taken) -> Option<bool> {
+    fn start_or_wait(
+        &mut self,
+        scenario: &Scenario,
+        time: f64,
+        node: usize,
+        taken: Taken,
+    ) -> Option<bool> {
         match taken {
             Taken::Token => Some(true),
             Taken::OverLimit(_) | Taken::Unanswered(_) => Some(false),
@@ -308,7 +320,7 @@
                 self.borrowers[node].begin_waiting();
                 self.waiting[node] += 1;
                 if self.answers.iter().all(|(_, other, _, _)| *other != node) {
-                    self.ask(play, time, node);
+                    self.ask(scenario, time, node);
                 }
                 None
             }
@@ -316,17 +328,17 @@
     }
 }
 
-impl Way for Lent {
+impl LimitStrategy for LentTokens {
     fn lender(&self) -> usize {
         self.ranked[0]
     }
 
-    fn arrive(&mut self, play: &Play, time: f64, node: usize) -> Option<bool> {
+    fn arrive(&mut self, scenario: &Scenario, time: f64, node: usize) -> Option<bool> {
         let taken = self.borrowers[node].arrive(at(time), &self.quota);
-        self.note(play, time, node, taken)
+        self.start_or_wait(scenario, time, node, taken)
     }
 
-    fn pass(&mut self, play: &Play, time: f64) -> usize {
+    fn advance(&mut self, scenario: &Scenario, time: f64) -> usize {
         let (due, later) = self.answers.drain(..).partition(|(due, ..)| *due <= time);
         self.answers = later;
         let due: Vec<(f64, usize, f64, Option<Loan>)> = due;
@@ -339,17 +351,17 @@
             for _ in 0..std::mem::take(&mut self.waiting[node]) {
                 self.borrowers[node].end_waiting();
                 let taken = self.borrowers[node].take_after_answer(at(time), &self.quota);
-                ran += usize::from(self.note(play, time, node, taken) == Some(true));
+                ran += usize::from(self.start_or_wait(scenario, time, node, taken) == Some(true));
             }
         }
         ran
     }
 
     fn messages(&self) -> usize {
-        self.sent
+        self.messages_sent
     }
 
-    fn restarted(&mut self, _play: &Play, time: f64, node: usize) {
+    fn restart(&mut self, _scenario: &Scenario, time: f64, node: usize) {
         self.borrowers[node] = Borrower::new(at(time), &self.quota);
         self.waiting[node] = 0;
         self.missing.remove(&node);
