--- a/crates/coordination/src/mesh/poison/suspects.rs
+++ b/crates/coordination/src/mesh/poison/suspects.rs
@@ -142,8 +142,8 @@
     /// that fewer than [`PROOF`] remain, while its content has run successfully for some caller.
     ///
     /// Without this check, a frequent content is blocked along with the causes of a series of
-    /// crashes that begins before it has run successfully. A single unexplained crash proves nothing
-    /// either, as servers crash for other reasons too.
+    /// crashes that begins before it has run successfully. A single unexplained crash proves
+    /// nothing either, as servers crash for other reasons too.
     fn is_explained_by_other_contents(&self, request: &CallerContent) -> bool {
         let Some(suspect) = self.suspects.get(&request.content) else {
             return false;
@@ -211,8 +211,8 @@
             .take_if(|trial| trial.content == *content && at >= trial.started_at);
     }
 
-    /// Returns a digest of the evidence, by which nodes detect that theirs differs; zero if there is
-    /// no evidence.
+    /// Returns a digest of the evidence, by which nodes detect that theirs differs; zero if there
+    /// is no evidence.
     pub fn digest(&self) -> u64 {
         self.digest
     }
@@ -399,7 +399,8 @@
         hasher.update(caller.as_str().as_bytes());
         hasher.update(&(evidence.counted_crashes().count() as u64).to_be_bytes());
         for (server, _) in evidence.crashes() {
-            // Includes the start time, because a restarted server may crash again under the same ID.
+            // Includes the start time, because a restarted server may crash again under the same
+            // ID.
             hasher.update(server.to_string().as_bytes());
         }
     }
--- a/crates/coordination/tests/mesh_poison_chance.rs
+++ b/crates/coordination/tests/mesh_poison_chance.rs
@@ -2,8 +2,8 @@
 //! by the rate at which servers crash for other reasons and by the number of concurrent runs.
 //!
 //! Simulates one service of eight servers. All nodes share one set of evidence, because reports
-//! spread within milliseconds. `cargo test -p lifthollow-coordination --test mesh_poison_chance -- --nocapture` prints the table
-//! that `docs/design/poison-requests.md` shows.
+//! spread within milliseconds. `cargo test -p lifthollow-coordination --test mesh_poison_chance --
+//! --nocapture` prints the table that `docs/design/poison-requests.md` shows.
 
 use std::time::Duration;
 
@@ -190,8 +190,8 @@
 }
 
 /// Simulates ten minutes with about `concurrent_runs` concurrent runs on each server. Each server
-/// crashes `crashes_per_minute` times a minute on average for other reasons than the poison request,
-/// and all servers crash at once twice if `power_losses`.
+/// crashes `crashes_per_minute` times a minute on average for other reasons than the poison
+/// request, and all servers crash at once twice if `power_losses`.
 fn simulate(
     seed: u64,
     concurrent_runs: f64,
--- a/crates/coordination/tests/mesh_poison_suspects.rs
+++ b/crates/coordination/tests/mesh_poison_suspects.rs
@@ -88,9 +88,9 @@
     assert_eq!(served_before_crash(10.1), 1);
 }
 
-/// While a request crashes all servers as soon as they are back, other frequent requests are running
-/// during the crashes, too, and nothing runs successfully. The frequent request of this test ran
-/// successfully a few seconds before.
+/// While a request crashes all servers as soon as they are back, other frequent requests are
+/// running during the crashes, too, and nothing runs successfully. The frequent request of this
+/// test ran successfully a few seconds before.
 #[test]
 fn content_that_ran_successfully_before_the_crashes_is_not_blocked_with_their_cause() {
     let mut suspects = Suspects::default();
@@ -138,9 +138,9 @@
     ));
 }
 
-/// Guards against a wrong block: a frequent request ran successfully for one service and was blocked
-/// for 30 s for another. Two of the crashes had known causes, and one server had crashed for an
-/// unrelated reason, while it ran no other content that had never run successfully.
+/// Guards against a wrong block: a frequent request ran successfully for one service and was
+/// blocked for 30 s for another. Two of the crashes had known causes, and one server had crashed
+/// for an unrelated reason, while it ran no other content that had never run successfully.
 #[test]
 fn explained_crashes_and_one_unexplained_crash_do_not_block_a_content() {
     let frequent = request(8);
@@ -372,7 +372,8 @@
     assert!(matches!(verdict, Verdict::Blocked(_)), "{verdict:?}");
 }
 
-/// A node may learn of a crash some milliseconds before it learns of successful runs at other nodes.
+/// A node may learn of a crash some milliseconds before it learns of successful runs at other
+/// nodes.
 #[test]
 fn requests_wait_before_they_are_refused_for_a_new_proof() {
     let suspects = suspects_after_crashes(3);
@@ -445,8 +446,8 @@
 }
 
 quickcheck! {
-    /// A block doesn't grow longer when it is passed from node to node, whatever the delays are, also
-    /// if the nodes started after the crashes.
+    /// A block doesn't grow longer when it is passed from node to node, whatever the delays are,
+    /// also if the nodes started after the crashes.
     fn block_does_not_grow_longer_when_passed_from_node_to_node(exchanges: Vec<Exchange>) -> bool {
         // `elapsed` is the time since the third crash; `clock` is the reporting node's clock.
         let mut elapsed = Duration::ZERO;
@@ -472,8 +473,8 @@
         }
     }
 
-    /// Nodes that observed different crashes and runs have the same evidence after they have fetched
-    /// each other's reports, in whatever order.
+    /// Nodes that observed different crashes and runs have the same evidence after they have
+    /// fetched each other's reports, in whatever order.
     fn nodes_that_exchange_reports_converge_to_the_same_evidence(events: Vec<(u8, u8, u8, bool)>, is_one_first: bool) -> bool {
         let mut nodes = [Suspects::default(), Suspects::default()];
         for (index, (node, content, by, is_served)) in events.iter().enumerate() {
