--- a/crates/coordination/src/mesh/rate_limits/mod.rs
+++ b/crates/coordination/src/mesh/rate_limits/mod.rs
@@ -1,9 +1,10 @@
-//! Limits that servers name: the requests a second that one takes from all nodes together.
+//! Rate limits that servers announce: the requests per second that a server accepts from all nodes
+//! together.
 //!
-//! Every request for a server passes the node beside it, so that node alone keeps the bound
-//! ([`RateGate`]): it needs nobody's word, and no part of the limit is lost to nodes that have no
-//! requests. Callers' nodes only see to it that few requests are turned away there
-//! ([`SendPace`]), and remind a node that has started anew of the limit.
+//! Every request for a server passes through the node beside it, so that node alone enforces the
+//! limit ([`RateGate`]): it needs no information from other nodes, and no share of the limit is
+//! lost to nodes that have no requests. Callers' nodes only pace their requests so that few are
+//! rejected there ([`SendPace`]), and report the limit to a server's node that has restarted.
 
 mod rate_gate;
 mod send_pace;
@@ -15,16 +16,18 @@
 pub use rate_gate::RateGate;
 pub use send_pace::SendPace;
 
-/// A server gets a request in this time whatever it names: without any, nobody would learn that
-/// it takes more again. The tolerance of limits is 5 requests in 4 s.
+/// Maximum time between requests to a server, however low its limit is: without any requests, no
+/// node would learn that the server accepts more again. The tolerance for exceeding a limit is 5
+/// requests in 4 s.
 const TRIAL_INTERVAL: Duration = Duration::from_millis(1100);
 
-/// Requests a second that a server with this limit gets.
+/// Returns the requests per second that may be sent to a server with this limit.
 fn allowed_per_second(limit: RequestRate) -> f64 {
     limit.per_second().max(trials_per_second())
 }
 
-/// Whether a server gets requests only to see whether it takes more again.
+/// Returns whether the limit is so low that a server gets requests only to find out whether it
+/// accepts more again.
 fn gets_trials_only(limit: RequestRate) -> bool {
     limit.per_second() < trials_per_second()
 }
--- a/crates/coordination/src/mesh/rate_limits/rate_gate.rs
+++ b/crates/coordination/src/mesh/rate_limits/rate_gate.rs
@@ -1,4 +1,4 @@
-//! Lets no more requests to a server than it takes.
+//! Rate limiter at the node beside a server, which enforces the limit that the server announces.
 
 use std::time::Duration;
 
@@ -7,64 +7,66 @@
 
 use super::allowed_per_second;
 
-/// Unused requests are kept for this time. Longer, and a burst after silence would be taken for
-/// the rate.
+/// Time for which unused tokens accumulate. If it were longer, the burst after an idle period could
+/// exceed the limit within the window in which it is judged.
 const BURST_TIME: Duration = Duration::from_millis(500);
 
-/// Whose word the limit is.
+/// Origin of the limit that a gate enforces.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Source {
-    /// Nobody's, or other nodes': the server has not answered this node yet.
+    /// The limit was reported by other nodes, or there is none: the server has not answered this
+    /// node yet.
     #[default]
     OtherNodes,
-    /// The server's.
+    /// The server itself announced the limit, or announced none.
     Server,
 }
 
-/// A token bucket at the node beside a server; open while the server names no limit.
+/// Token bucket at the node beside a server; all requests pass while the server announces no limit.
 #[derive(Clone, Debug, Default)]
 pub struct RateGate {
     limit: Option<RequestRate>,
     source: Source,
-    /// Requests that may pass at `refilled`.
+    /// Number of requests that may pass at `refilled`.
     tokens: f64,
     refilled: Timestamp,
 }
 
 impl RateGate {
-    /// The server has answered, and named this limit or none.
+    /// Sets the limit that the server announced in an answer, or none.
     pub fn server_named(&mut self, now: Timestamp, limit: Option<RequestRate>) {
         self.source = Source::Server;
         self.set_limit(now, limit);
     }
 
-    /// Another node was told this limit. It counts until the server answers this node: one that
-    /// has started anew would let a burst pass before.
+    /// Sets a limit that the server announced to another node. It applies until the server answers
+    /// this node. Without it, a node that has just restarted would let a burst pass before that
+    /// answer.
     pub fn others_were_told(&mut self, now: Timestamp, limit: RequestRate) {
         if self.source == Source::OtherNodes {
             self.set_limit(now, Some(limit));
         }
     }
 
-    /// Another start of a server stands beside the node: it has named nothing, and what other
-    /// nodes were told is of the start before.
+    /// Removes the limit after the server beside the node has restarted: the new process has
+    /// announced nothing, and limits that other nodes report are those of the previous process.
     pub fn server_started(&mut self) {
         self.limit = None;
         self.source = Source::Server;
     }
 
-    /// Whether the server names a limit.
+    /// Returns whether the gate enforces a limit.
     pub fn is_limited(&self) -> bool {
         self.limit.is_some()
     }
 
-    /// Whether a request may pass.
+    /// Returns whether a request may pass at `now`.
     pub fn has_token(&self, now: Timestamp) -> bool {
         self.limit
             .is_none_or(|limit| self.tokens_at(now, limit) >= 1.0)
     }
 
-    /// Lets a request pass, if one may.
+    /// Takes a token for a request and returns whether the request may pass.
     pub fn try_take(&mut self, now: Timestamp) -> bool {
         let Some(limit) = self.limit else {
             return true;
@@ -77,14 +79,14 @@
         may_pass
     }
 
-    /// A request that was let pass has not reached the server.
+    /// Returns the token of a request that may pass but did not reach the server.
     pub fn give_back(&mut self) {
         if self.limit.is_some() {
             self.tokens += 1.0;
         }
     }
 
-    /// The time until `count` requests may have passed.
+    /// Returns the time until `count` requests may have passed, counted from `now`.
     pub fn time_until(&self, now: Timestamp, count: usize) -> Duration {
         let Some(limit) = self.limit else {
             return Duration::ZERO;
@@ -93,8 +95,8 @@
         Duration::from_secs_f64(lacking / allowed_per_second(limit))
     }
 
-    /// Requests that the server has at once at its limit, each taking `service_time`; none if it
-    /// names no limit.
+    /// Returns the number of requests that the server handles concurrently when it is at its limit
+    /// and each takes `service_time`; `None` without a limit.
     pub fn slots_used(&self, service_time: Duration) -> Option<u32> {
         let allowed = allowed_per_second(self.limit?);
         let used = (allowed * service_time.as_secs_f64()).ceil();
--- a/crates/coordination/src/mesh/rate_limits/send_pace.rs
+++ b/crates/coordination/src/mesh/rate_limits/send_pace.rs
@@ -1,8 +1,8 @@
-//! How often a caller's node tries a server that names a limit.
+//! Pacing of the attempts that a caller's node sends to a server with a rate limit.
 //!
-//! Nobody tells a node its part of the limit, since that depends on what all others send. A node
-//! tries less often each time that it is turned away, and a little more often each time that it is
-//! not.
+//! A node isn't told its share of the limit, because that depends on what all other nodes send. The
+//! node lengthens its send interval each time that an attempt is rejected for the limit, and
+//! shortens it a little each time that one is served.
 
 use std::time::Duration;
 
@@ -11,18 +11,21 @@
 
 use super::{allowed_per_second, gets_trials_only};
 
-/// By how much the interval grows when the server's node turns an attempt away.
+/// Factor by which the interval grows when the server's node rejects an attempt.
 const SLOW_DOWN: f64 = 1.5;
-/// By how much it shrinks when an attempt is served. With [`SLOW_DOWN`], about one in fourteen is
-/// turned away where many nodes share a limit.
+/// Factor by which the interval shrinks when an attempt is served. Together with
+/// [`SLOW_DOWN`], about one attempt in fourteen is rejected when many nodes share a
+/// limit.
 const SPEED_UP: f64 = 0.97;
-/// The longest interval. Within it, a node learns that the server takes more again.
+/// Maximum interval between attempts, within which a node learns that the server accepts more
+/// again.
 const MAX_INTERVAL: Duration = Duration::from_secs(1);
-/// A node that is alone tries a little more often than the limit allows, or would never find out
-/// that there is no other.
+/// Minimum interval, as a fraction of the interval that the limit allows to a single node. A node
+/// that is alone sends slightly more than the limit allows; otherwise it would never find out that
+/// no other node sends.
 const SHORTEST: f64 = 0.9;
 
-/// When a node may next send to a server that names a limit.
+/// Send interval of a node for a server with a rate limit, and the time of its next attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct SendPace {
     limit: RequestRate,
@@ -31,7 +34,7 @@
 }
 
 impl SendPace {
-    /// The server has named `limit` for the first time.
+    /// Creates the pace for a server that has announced `limit` for the first time.
     pub fn new(now: Timestamp, limit: RequestRate) -> Self {
         let interval = shortest_interval(limit);
         SendPace {
@@ -41,37 +44,40 @@
         }
     }
 
-    /// The limit.
+    /// Returns the limit that the server announced.
     pub fn limit(&self) -> RequestRate {
         self.limit
     }
 
-    /// The server names another limit: this node's part of it changes alike.
+    /// Sets a new limit that the server announced, and changes this node's share of it in
+    /// proportion.
     pub fn set_limit(&mut self, limit: RequestRate) {
         let ratio = allowed_per_second(self.limit) / allowed_per_second(limit);
         self.limit = limit;
         self.set_interval(self.interval.mul_f64(ratio));
     }
 
-    /// An attempt was sent.
+    /// Records that an attempt was sent at `now`, and schedules the next one.
     pub fn sent(&mut self, now: Timestamp) {
         let next = self.next.max(now) + self.interval;
         self.next = next.min(now + MAX_INTERVAL);
     }
 
-    /// The server ran an attempt.
+    /// Records that the server ran an attempt, and shortens the interval.
     pub fn served(&mut self) {
         self.set_interval(self.interval.mul_f64(SPEED_UP));
     }
 
-    /// The server's node turned an attempt away.
+    /// Records that the server's node rejected an attempt for the limit, and lengthens the
+    /// interval.
     pub fn turned_away(&mut self, now: Timestamp) {
         self.set_interval(self.interval.mul_f64(SLOW_DOWN));
         self.next = now + self.interval;
     }
 
-    /// The time until the server should get another attempt. One that is only tried now and then
-    /// should get none that can't be repeated: it may well refuse to run it.
+    /// Returns the time until the next attempt may be sent to the server. A server whose limit is
+    /// so low that it only gets occasional trials should get no attempt that can't be retried,
+    /// because it is likely to refuse it; the maximum interval is returned for such an attempt.
     pub fn time_until_next(&self, now: Timestamp, may_repeat: bool) -> Duration {
         if gets_trials_only(self.limit) && !may_repeat {
             return MAX_INTERVAL;
--- a/crates/coordination/tests/mesh_rate_limit_ways.rs
+++ b/crates/coordination/tests/mesh_rate_limit_ways.rs
@@ -1,5 +1,6 @@
-//! Ways to keep a server below the limit that it names, compared: what it gets of the limit, the
-//! most that it gets in a window, and how many attempts are turned away at its node.
+//! Compares strategies that enforce a server's rate limit: the fraction of the limit that is used,
+//! the maximum number of requests in a window, and the fraction of attempts rejected at the
+//! server's node.
 
 mod mesh_support;
 
@@ -13,28 +14,30 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-/// How long a play lasts, milliseconds. The first seconds are not judged: callers learn the limit.
+/// Duration of a simulation, in milliseconds. The time before [`JUDGED_FROM_MS`] is not evaluated,
+/// because callers still learn the limit then.
 const LENGTH_MS: u64 = 34_000;
 const JUDGED_FROM_MS: u64 = 4_000;
 const WINDOW_MS: u64 = 4_000;
-/// How long the server works on a request, milliseconds.
+/// Time that the server takes for a request, in milliseconds.
 const SERVICE_MS: u64 = 100;
 
-/// A load on one server.
+/// Load on one server.
 #[derive(Clone, Copy, Debug)]
 struct Load {
     callers: usize,
-    /// Requests a second that callers would send to it.
+    /// Requests per second that all callers together would send to the server.
     demand: f64,
     limit: f64,
-    /// The part of the demand that one caller has; the others share the rest.
+    /// Fraction of the demand that comes from the first caller; the rest is spread over the active
+    /// callers.
     first_callers_part: f64,
-    /// Callers that have any demand in one second; others have it in the next.
+    /// Number of callers that are active in one second; in the next second, others are.
     active: usize,
 }
 
 impl Load {
-    /// The caller of the next request.
+    /// Draws the caller of the next request.
     fn draw_caller(&self, now: u64, random: &mut SmallRng) -> usize {
         if random.random::<f64>() < self.first_callers_part {
             return 0;
@@ -44,17 +47,18 @@
     }
 }
 
-/// One way to keep the limit.
+/// Strategy that enforces a server's limit.
 trait Way {
-    /// Whether a caller sends a request to the server rather than to another.
+    /// Returns whether a caller sends a request to this server rather than to another one.
     fn sends(&mut self, now: Timestamp, caller: usize) -> bool;
-    /// Whether the server's node lets a request of that caller pass.
+    /// Returns whether the server's node lets a request of that caller pass.
     fn passes(&mut self, now: Timestamp, caller: usize) -> bool;
-    /// The caller gets an answer of the server.
+    /// Records that the caller received an answer of the server.
     fn answered(&mut self, now: Timestamp, caller: usize);
 }
 
-/// The node beside the server keeps the sum; callers try it at a pace of their own.
+/// Strategy in which the node beside the server enforces the limit for all callers, and each caller
+/// adapts its own pace.
 struct GateAtServer {
     limit: RequestRate,
     gate: RateGate,
@@ -103,18 +107,21 @@
     }
 }
 
-/// Each caller keeps its part of the limit by itself; nobody knows the sum.
+/// Strategy in which each caller enforces its own share of the limit and no node enforces the
+/// total.
 struct SharesOfCallers {
     buckets: Vec<Bucket>,
-    /// Told with each answer: among how many callers the limit is divided.
+    /// Number of callers among which the limit is divided, sent to the caller with each answer.
     divided_among: usize,
-    /// Whether only callers of the last second count, as the server's node has seen them.
+    /// Whether the limit is divided only among the callers from which the server's node received a
+    /// request in the last second.
     counts_active: bool,
     seen: Vec<u64>,
     limit: f64,
 }
 
-/// Requests that a caller may send: a part of the limit, and one that it has saved.
+/// Token bucket of a caller: it refills at the caller's share of the limit and holds one token at
+/// most.
 #[derive(Clone, Copy, Default)]
 struct Bucket {
     rate: f64,
@@ -173,10 +180,10 @@
     }
 }
 
-/// What came of a play.
+/// Result of a simulation.
 #[derive(Debug)]
 struct Outcome {
-    /// Requests that reached the server, of those that the limit allows.
+    /// Requests that reached the server, as a fraction of those that the limit allows.
     used: f64,
     most_in_window: usize,
     turned_away: f64,
@@ -186,7 +193,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
-            "{:.2} of the limit, {} in a window, {:.2} turned away",
+            "{:.2} of the limit used, at most {} requests in a window, {:.2} of attempts rejected",
             self.used, self.most_in_window, self.turned_away
         )
     }
@@ -231,8 +238,8 @@
     }
 }
 
-/// Loads at 12 and at 985 machines: even, of one caller mostly, and moving from some callers to
-/// others each second.
+/// Returns loads of 12 and of 985 callers: spread evenly, mostly of one caller, and moving from
+/// some callers to others each second.
 fn loads() -> Vec<(&'static str, Load)> {
     let even = |callers, demand, limit| Load {
         callers,
--- a/crates/coordination/tests/mesh_rate_limits.rs
+++ b/crates/coordination/tests/mesh_rate_limits.rs
@@ -1,4 +1,5 @@
-//! Servers that name the requests a second that they take, and servers that say that they leave.
+//! Tests of servers that announce a limit of requests per second, and of servers that announce that
+//! they are leaving.
 
 mod mesh_support;
 
@@ -12,7 +13,7 @@
 use lifthollow_state::{Priority, PriorityClass, ServiceName};
 use mesh_support::{at, id, ms, random, server};
 
-/// Windows in which a limit is judged, milliseconds.
+/// Length of the windows in which the kept limit is checked, in milliseconds.
 const WINDOW_MS: u64 = 4000;
 
 fn rate(per_second: f64) -> RequestRate {
@@ -31,7 +32,8 @@
     is_leaving: true,
 };
 
-/// Requests that pass the gate between two moments, of one that asks each millisecond.
+/// Sends a request to the gate each millisecond from `from` until `until` and returns the times at
+/// which one passed.
 fn passing(gate: &mut RateGate, from: u64, until: u64) -> Vec<u64> {
     (from..until)
         .filter(|now| gate.try_take(at(*now)))
@@ -182,7 +184,8 @@
         .collect();
     assert_eq!(admission.waiting_in_vain(at(1)), []);
     admission.server_noticed(at(50), &id("i-a"), names(10.0));
-    // A token each 100 ms: the second comes too late for asking another server within 300 ms.
+    // One token becomes available each 100 ms: the second one comes too late to ask another server
+    // within the patience of 300 ms.
     assert_eq!(admission.waiting_in_vain(at(50)), tickets[1..]);
 }
 
@@ -313,7 +316,7 @@
     entry.slots += 1;
     pool.set_servers(at(2), [entry.clone(), server("i-b", "b", 2)]);
     assert!(is_chosen(&pool, 3, "i-b"));
-    // Its entry is gone for a while.
+    // The server's entry is missing for a while.
     pool.set_servers(at(4), [server("i-b", "b", 2)]);
     pool.set_servers(at(3000), [entry, server("i-b", "b", 2)]);
     assert!(is_chosen(&pool, 3001, "i-b"));
