--- a/crates/coordination/src/mesh/rate_limits/rate_gate.rs
+++ b/crates/coordination/src/mesh/rate_limits/rate_gate.rs
@@ -9,11 +9,11 @@
 
 /// Time for which unused tokens accumulate. If it were longer, the burst after an idle period could
 /// exceed the limit within the window in which it is judged.
-const BURST_TIME: Duration = Duration::from_millis(500);
+const TOKEN_ACCUMULATION_TIME: Duration = Duration::from_millis(500);
 
 /// Origin of the limit that a gate enforces.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Source {
+enum LimitSource {
     /// The limit was reported by other nodes, or there is none: the server has not answered this
     /// node yet.
     #[default]
@@ -26,16 +26,16 @@
 #[derive(Clone, Debug, Default)]
 pub struct RateGate {
     limit: Option<RequestRate>,
-    source: Source,
-    /// Number of requests that may pass at `refilled`.
+    source: LimitSource,
+    /// Number of requests that may pass at `refilled_at`.
     tokens: f64,
-    refilled: Timestamp,
+    refilled_at: Timestamp,
 }
 
 impl RateGate {
     /// Sets the limit that the server announced in an answer, or none.
     pub fn server_named(&mut self, now: Timestamp, limit: Option<RequestRate>) {
-        self.source = Source::Server;
+        self.source = LimitSource::Server;
         self.set_limit(now, limit);
     }
 
@@ -43,7 +43,7 @@
     /// this node. Without it, a node that has just restarted would let a burst pass before that
     /// answer.
     pub fn others_were_told(&mut self, now: Timestamp, limit: RequestRate) {
-        if self.source == Source::OtherNodes {
+        if self.source == LimitSource::OtherNodes {
             self.set_limit(now, Some(limit));
         }
     }
@@ -52,7 +52,7 @@
     /// announced nothing, and limits that other nodes report are those of the previous process.
     pub fn server_started(&mut self) {
         self.limit = None;
-        self.source = Source::Server;
+        self.source = LimitSource::Server;
     }
 
     /// Returns whether the gate enforces a limit.
@@ -91,8 +91,8 @@
         let Some(limit) = self.limit else {
             return Duration::ZERO;
         };
-        let lacking = (count as f64 - self.tokens_at(now, limit)).max(0.0);
-        Duration::from_secs_f64(lacking / allowed_per_second(limit))
+        let missing_tokens = (count as f64 - self.tokens_at(now, limit)).max(0.0);
+        Duration::from_secs_f64(missing_tokens / allowed_per_second(limit))
     }
 
     /// Returns the number of requests that the server handles concurrently when it is at its limit
@@ -105,22 +105,22 @@
 
     fn set_limit(&mut self, now: Timestamp, limit: Option<RequestRate>) {
         match self.limit {
-            Some(before) => self.refill(now, before),
+            Some(previous) => self.refill(now, previous),
             None => self.tokens = 0.0,
         }
-        self.refilled = now;
+        self.refilled_at = now;
         self.limit = limit;
     }
 
     fn refill(&mut self, now: Timestamp, limit: RequestRate) {
         self.tokens = self.tokens_at(now, limit);
-        self.refilled = now;
+        self.refilled_at = now;
     }
 
     fn tokens_at(&self, now: Timestamp, limit: RequestRate) -> f64 {
         let allowed = allowed_per_second(limit);
-        let passed = now.saturating_since(self.refilled).as_secs_f64();
-        let most = (allowed * BURST_TIME.as_secs_f64()).max(1.0);
-        (self.tokens + passed * allowed).min(most)
+        let elapsed = now.saturating_since(self.refilled_at).as_secs_f64();
+        let max_tokens = (allowed * TOKEN_ACCUMULATION_TIME.as_secs_f64()).max(1.0);
+        (self.tokens + elapsed * allowed).min(max_tokens)
     }
 }
--- a/crates/coordination/src/mesh/rate_limits/send_pace.rs
+++ b/crates/coordination/src/mesh/rate_limits/send_pace.rs
@@ -12,35 +12,35 @@
 use super::{allowed_per_second, gets_trials_only};
 
 /// Factor by which the interval grows when the server's node rejects an attempt.
-const SLOW_DOWN: f64 = 1.5;
+const REJECTED_INTERVAL_FACTOR: f64 = 1.5;
 /// Factor by which the interval shrinks when an attempt is served. Together with
-/// [`SLOW_DOWN`], about one attempt in fourteen is rejected when many nodes share a
+/// [`REJECTED_INTERVAL_FACTOR`], about one attempt in fourteen is rejected when many nodes share a
 /// limit.
-const SPEED_UP: f64 = 0.97;
+const SERVED_INTERVAL_FACTOR: f64 = 0.97;
 /// Maximum interval between attempts, within which a node learns that the server accepts more
 /// again.
 const MAX_INTERVAL: Duration = Duration::from_secs(1);
 /// Minimum interval, as a fraction of the interval that the limit allows to a single node. A node
 /// that is alone sends slightly more than the limit allows; otherwise it would never find out that
 /// no other node sends.
-const SHORTEST: f64 = 0.9;
+const MIN_INTERVAL_FRACTION: f64 = 0.9;
 
 /// Send interval of a node for a server with a rate limit, and the time of its next attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct SendPace {
     limit: RequestRate,
     interval: Duration,
-    next: Timestamp,
+    next_at: Timestamp,
 }
 
 impl SendPace {
     /// Creates the pace for a server that has announced `limit` for the first time.
     pub fn new(now: Timestamp, limit: RequestRate) -> Self {
-        let interval = shortest_interval(limit);
+        let interval = min_interval(limit);
         SendPace {
             limit,
             interval,
-            next: now + interval,
+            next_at: now + interval,
         }
     }
 
@@ -59,20 +59,20 @@
 
     /// Records that an attempt was sent at `now`, and schedules the next one.
     pub fn sent(&mut self, now: Timestamp) {
-        let next = self.next.max(now) + self.interval;
-        self.next = next.min(now + MAX_INTERVAL);
+        let next_at = self.next_at.max(now) + self.interval;
+        self.next_at = next_at.min(now + MAX_INTERVAL);
     }
 
     /// Records that the server ran an attempt, and shortens the interval.
     pub fn served(&mut self) {
-        self.set_interval(self.interval.mul_f64(SPEED_UP));
+        self.set_interval(self.interval.mul_f64(SERVED_INTERVAL_FACTOR));
     }
 
     /// Records that the server's node rejected an attempt for the limit, and lengthens the
     /// interval.
     pub fn turned_away(&mut self, now: Timestamp) {
-        self.set_interval(self.interval.mul_f64(SLOW_DOWN));
-        self.next = now + self.interval;
+        self.set_interval(self.interval.mul_f64(REJECTED_INTERVAL_FACTOR));
+        self.next_at = now + self.interval;
     }
 
     /// Returns the time until the next attempt may be sent to the server. A server whose limit is
@@ -82,15 +82,15 @@
         if gets_trials_only(self.limit) && !may_repeat {
             return MAX_INTERVAL;
         }
-        self.next.saturating_since(now)
+        self.next_at.saturating_since(now)
     }
 
     fn set_interval(&mut self, interval: Duration) {
-        self.interval = interval.clamp(shortest_interval(self.limit), MAX_INTERVAL);
+        self.interval = interval.clamp(min_interval(self.limit), MAX_INTERVAL);
     }
 }
 
-fn shortest_interval(limit: RequestRate) -> Duration {
-    let seconds = SHORTEST / allowed_per_second(limit);
+fn min_interval(limit: RequestRate) -> Duration {
+    let seconds = MIN_INTERVAL_FRACTION / allowed_per_second(limit);
     Duration::from_secs_f64(seconds).min(MAX_INTERVAL)
 }
--- a/crates/coordination/tests/mesh_rate_limit_ways.rs
+++ b/crates/coordination/tests/mesh_rate_limit_ways.rs
@@ -16,7 +16,7 @@
 
 /// Duration of a simulation, in milliseconds. The time before [`JUDGED_FROM_MS`] is not evaluated,
 /// because callers still learn the limit then.
-const LENGTH_MS: u64 = 34_000;
+const DURATION_MS: u64 = 34_000;
 const JUDGED_FROM_MS: u64 = 4_000;
 const WINDOW_MS: u64 = 4_000;
 /// Time that the server takes for a request, in milliseconds.
@@ -31,7 +31,7 @@
     limit: f64,
     /// Fraction of the demand that comes from the first caller; the rest is spread over the active
     /// callers.
-    first_callers_part: f64,
+    first_caller_share: f64,
     /// Number of callers that are active in one second; in the next second, others are.
     active: usize,
 }
@@ -39,16 +39,16 @@
 impl Load {
     /// Draws the caller of the next request.
     fn draw_caller(&self, now: u64, random: &mut SmallRng) -> usize {
-        if random.random::<f64>() < self.first_callers_part {
+        if random.random::<f64>() < self.first_caller_share {
             return 0;
         }
-        let begin = (now / 1000) as usize * self.active;
-        (begin + random.random_range(0..self.active)) % self.callers
+        let first_active = (now / 1000) as usize * self.active;
+        (first_active + random.random_range(0..self.active)) % self.callers
     }
 }
 
 /// Strategy that enforces a server's limit.
-trait Way {
+trait LimitStrategy {
     /// Returns whether a caller sends a request to this server rather than to another one.
     fn sends(&mut self, now: Timestamp, caller: usize) -> bool;
     /// Returns whether the server's node lets a request of that caller pass.
@@ -59,30 +59,30 @@
 
 /// Strategy in which the node beside the server enforces the limit for all callers, and each caller
 /// adapts its own pace.
-struct GateAtServer {
+struct ServerGate {
     limit: RequestRate,
     gate: RateGate,
     paces: Vec<Option<SendPace>>,
 }
 
-impl GateAtServer {
+impl ServerGate {
     fn new(load: &Load) -> Self {
         let limit = RequestRate::new(load.limit).expect("a rate");
         let mut gate = RateGate::default();
         gate.server_named(at(0), Some(limit));
-        GateAtServer {
+        ServerGate {
             limit,
             gate,
             paces: vec![None; load.callers],
         }
     }
 
-    fn told(&mut self, now: Timestamp, caller: usize) -> &mut SendPace {
+    fn pace_of(&mut self, now: Timestamp, caller: usize) -> &mut SendPace {
         self.paces[caller].get_or_insert_with(|| SendPace::new(now, self.limit))
     }
 }
 
-impl Way for GateAtServer {
+impl LimitStrategy for ServerGate {
     fn sends(&mut self, now: Timestamp, caller: usize) -> bool {
         let Some(pace) = &mut self.paces[caller] else {
             return true;
@@ -97,19 +97,19 @@
     fn passes(&mut self, now: Timestamp, caller: usize) -> bool {
         let passes = self.gate.try_take(now);
         if !passes {
-            self.told(now, caller).turned_away(now);
+            self.pace_of(now, caller).turned_away(now);
         }
         passes
     }
 
     fn answered(&mut self, now: Timestamp, caller: usize) {
-        self.told(now, caller).served();
+        self.pace_of(now, caller).served();
     }
 }
 
 /// Strategy in which each caller enforces its own share of the limit and no node enforces the
 /// total.
-struct SharesOfCallers {
+struct CallerShares {
     buckets: Vec<Bucket>,
     /// Number of callers among which the limit is divided, sent to the caller with each answer.
     divided_among: usize,
@@ -127,12 +127,12 @@
     rate: f64,
     tokens: f64,
     refilled_ms: u64,
-    is_told: bool,
+    knows_limit: bool,
 }
 
-impl SharesOfCallers {
+impl CallerShares {
     fn new(load: &Load, counts_active: bool) -> Self {
-        SharesOfCallers {
+        CallerShares {
             buckets: vec![Bucket::default(); load.callers],
             divided_among: load.callers,
             counts_active,
@@ -142,16 +142,16 @@
     }
 }
 
-impl Way for SharesOfCallers {
+impl LimitStrategy for CallerShares {
     fn sends(&mut self, now: Timestamp, caller: usize) -> bool {
         let bucket = &mut self.buckets[caller];
-        if !bucket.is_told {
+        if !bucket.knows_limit {
             return true;
         }
         let now_ms = now.as_micros() / 1000;
-        let passed = (now_ms - bucket.refilled_ms) as f64 / 1000.0;
+        let elapsed = (now_ms - bucket.refilled_ms) as f64 / 1000.0;
         bucket.refilled_ms = now_ms;
-        bucket.tokens = (bucket.tokens + passed * bucket.rate).min(1.0);
+        bucket.tokens = (bucket.tokens + elapsed * bucket.rate).min(1.0);
         let may_send = bucket.tokens >= 1.0;
         if may_send {
             bucket.tokens -= 1.0;
@@ -172,8 +172,8 @@
     fn answered(&mut self, now: Timestamp, caller: usize) {
         let rate = self.limit / self.divided_among as f64;
         let bucket = &mut self.buckets[caller];
-        if !bucket.is_told {
-            bucket.is_told = true;
+        if !bucket.knows_limit {
+            bucket.knows_limit = true;
             bucket.refilled_ms = now.as_micros() / 1000;
         }
         bucket.rate = rate;
@@ -185,8 +185,8 @@
 struct Outcome {
     /// Requests that reached the server, as a fraction of those that the limit allows.
     used: f64,
-    most_in_window: usize,
-    turned_away: f64,
+    max_in_window: usize,
+    rejected: f64,
 }
 
 impl fmt::Display for Outcome {
@@ -194,30 +194,30 @@
         write!(
             formatter,
             "{:.2} of the limit used, at most {} requests in a window, {:.2} of attempts rejected",
-            self.used, self.most_in_window, self.turned_away
+            self.used, self.max_in_window, self.rejected
         )
     }
 }
 
-fn play(load: &Load, way: &mut dyn Way) -> Outcome {
+fn simulate(load: &Load, strategy: &mut dyn LimitStrategy) -> Outcome {
     let mut random = random();
     let mut answers: VecDeque<(u64, usize)> = VecDeque::new();
     let mut reached = Vec::new();
     let mut judged_sent = 0_u32;
-    for now in 0..LENGTH_MS {
+    for now in 0..DURATION_MS {
         while answers.front().is_some_and(|(due, _)| *due <= now) {
             let (_, caller) = answers.pop_front().expect("there is one");
-            way.answered(at(now), caller);
+            strategy.answered(at(now), caller);
         }
         if random.random::<f64>() >= load.demand / 1000.0 {
             continue;
         }
         let caller = load.draw_caller(now, &mut random);
-        if !way.sends(at(now), caller) {
+        if !strategy.sends(at(now), caller) {
             continue;
         }
         judged_sent += u32::from(now >= JUDGED_FROM_MS);
-        if way.passes(at(now), caller) {
+        if strategy.passes(at(now), caller) {
             reached.push(now);
             answers.push_back((now + SERVICE_MS, caller));
         }
@@ -226,15 +226,15 @@
         .into_iter()
         .filter(|at| *at >= JUDGED_FROM_MS)
         .collect();
-    let seconds = (LENGTH_MS - JUDGED_FROM_MS) as f64 / 1000.0;
+    let seconds = (DURATION_MS - JUDGED_FROM_MS) as f64 / 1000.0;
     let in_window = |start: &u64| {
         let within = |time: &&u64| **time >= *start && **time < *start + WINDOW_MS;
         judged.iter().filter(within).count()
     };
     Outcome {
         used: judged.len() as f64 / (load.limit * seconds),
-        most_in_window: judged.iter().map(in_window).max().unwrap_or_default(),
-        turned_away: 1.0 - judged.len() as f64 / f64::from(judged_sent.max(1)),
+        max_in_window: judged.iter().map(in_window).max().unwrap_or_default(),
+        rejected: 1.0 - judged.len() as f64 / f64::from(judged_sent.max(1)),
     }
 }
 
@@ -245,11 +245,11 @@
         callers,
         demand,
         limit,
-        first_callers_part: 0.0,
+        first_caller_share: 0.0,
         active: callers,
     };
-    let of_one = |load| Load {
-        first_callers_part: 0.9,
+    let mostly_one = |load| Load {
+        first_caller_share: 0.9,
         ..load
     };
     let moving = |load: Load| Load {
@@ -259,23 +259,23 @@
     let (small, large) = (even(12, 50.0, 10.0), even(985, 50.0, 10.0));
     vec![
         ("12, even", small),
-        ("12, of one", of_one(small)),
+        ("12, of one", mostly_one(small)),
         ("12, moving", moving(small)),
         ("985, even", large),
-        ("985, of one", of_one(large)),
+        ("985, of one", mostly_one(large)),
         ("985, moving", moving(large)),
     ]
 }
 
 #[test]
-fn a_server_gets_what_it_names_and_no_more_whoever_has_the_demand() {
+fn server_gets_its_limit_and_no_more_however_demand_is_spread() {
     for (name, load) in loads() {
-        let ours = play(&load, &mut GateAtServer::new(&load));
-        let equal = play(&load, &mut SharesOfCallers::new(&load, false));
-        let active = play(&load, &mut SharesOfCallers::new(&load, true));
-        println!("{name}: gate {ours}; equal shares {equal}; shares of active {active}");
+        let gate = simulate(&load, &mut ServerGate::new(&load));
+        let equal = simulate(&load, &mut CallerShares::new(&load, false));
+        let active = simulate(&load, &mut CallerShares::new(&load, true));
+        println!("{name}: gate {gate}; equal shares {equal}; shares of active {active}");
         let allowed = 1.5 * load.limit * 4.0 + 5.0;
-        assert!(ours.most_in_window as f64 <= allowed, "{name}: {ours:?}");
-        assert!(ours.used >= 0.9, "{name}: {ours:?}");
+        assert!(gate.max_in_window as f64 <= allowed, "{name}: {gate:?}");
+        assert!(gate.used >= 0.9, "{name}: {gate:?}");
     }
 }
--- a/crates/coordination/tests/mesh_rate_limits.rs
+++ b/crates/coordination/tests/mesh_rate_limits.rs
@@ -20,27 +20,27 @@
     RequestRate::new(per_second).expect("a rate")
 }
 
-fn names(per_second: f64) -> ServerNotice {
+fn notice_with_limit(per_second: f64) -> ServerNotice {
     ServerNotice {
         limit: Some(rate(per_second)),
         is_leaving: false,
     }
 }
 
-const LEAVES: ServerNotice = ServerNotice {
+const LEAVING: ServerNotice = ServerNotice {
     limit: None,
     is_leaving: true,
 };
 
 /// Sends a request to the gate each millisecond from `from` until `until` and returns the times at
 /// which one passed.
-fn passing(gate: &mut RateGate, from: u64, until: u64) -> Vec<u64> {
+fn pass_times(gate: &mut RateGate, from: u64, until: u64) -> Vec<u64> {
     (from..until)
         .filter(|now| gate.try_take(at(*now)))
         .collect()
 }
 
-fn most_in_window(times: &[u64]) -> usize {
+fn max_in_window(times: &[u64]) -> usize {
     let in_window = |start: &u64| {
         let within = |time: &&u64| **time >= *start && **time < *start + WINDOW_MS;
         times.iter().filter(within).count()
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn texts_that_are_no_number_of_zero_or_more_are_no_rate() {
+fn request_rate_is_parsed_only_from_numbers_of_zero_or_more() {
     for text in ["", "ten", "-1", "NaN", "inf", "1,5", "0x10"] {
         assert!(text.parse::<RequestRate>().is_err(), "{text}");
     }
@@ -59,39 +59,39 @@
 }
 
 #[test]
-fn no_more_than_the_limit_passes() {
+fn gate_passes_no_more_requests_than_the_limit() {
     for per_second in [0.0, 0.1, 1.0, 10.0, 250.0] {
         let mut gate = RateGate::default();
         gate.server_named(at(0), Some(rate(per_second)));
-        let passed = passing(&mut gate, 0, 20_000);
+        let passed = pass_times(&mut gate, 0, 20_000);
         let allowed = 1.5 * per_second * 4.0 + 5.0;
-        let most = most_in_window(&passed);
-        assert!(most as f64 <= allowed, "{per_second}: {most}");
+        let max_passed = max_in_window(&passed);
+        assert!(max_passed as f64 <= allowed, "{per_second}: {max_passed}");
         assert!(passed.len() as f64 >= 0.9 * per_second * 20.0);
     }
 }
 
 #[test]
-fn a_burst_after_silence_is_not_taken_for_the_rate() {
+fn burst_after_an_idle_period_does_not_exceed_the_limit() {
     let mut gate = RateGate::default();
     gate.server_named(at(0), Some(rate(10.0)));
-    let passed = passing(&mut gate, 60_000, 64_000);
+    let passed = pass_times(&mut gate, 60_000, 64_000);
     assert!(passed.len() <= 65, "{}", passed.len());
 }
 
 #[test]
-fn no_start_of_a_node_lets_a_burst_pass_if_others_were_told_the_limit() {
+fn restarted_node_passes_no_burst_if_other_nodes_report_the_limit() {
     let mut passed = Vec::new();
     for start in 0..4 {
         let mut gate = RateGate::default();
         gate.others_were_told(at(start * 1000), rate(8.0));
-        passed.extend(passing(&mut gate, start * 1000, (start + 1) * 1000));
+        passed.extend(pass_times(&mut gate, start * 1000, (start + 1) * 1000));
     }
     assert!(passed.len() <= 53, "{}", passed.len());
 }
 
 #[test]
-fn what_others_were_told_does_not_count_against_the_servers_own_word() {
+fn limit_reported_by_other_nodes_does_not_override_the_servers_own_announcement() {
     let mut gate = RateGate::default();
     gate.server_named(at(0), None);
     gate.others_were_told(at(1), rate(1.0));
@@ -103,15 +103,15 @@
 }
 
 #[test]
-fn a_limit_ends_when_it_is_taken_back() {
+fn limit_ends_when_the_server_withdraws_it() {
     let mut gate = RateGate::default();
     gate.server_named(at(0), Some(rate(0.0)));
     assert!(!gate.has_token(at(10)));
     gate.server_named(at(20), None);
-    assert_eq!(passing(&mut gate, 20, 120).len(), 100);
+    assert_eq!(pass_times(&mut gate, 20, 120).len(), 100);
 }
 
-fn open(_: &ServiceName) -> AdmissionLevel {
+fn open_level(_: &ServiceName) -> AdmissionLevel {
     AdmissionLevel::OPEN
 }
 
@@ -134,14 +134,14 @@
 fn limited_admission(per_second: f64) -> ServerAdmission {
     let mut admission = ServerAdmission::new("feeds", 100);
     admission.server_started(at(0), &id("i-a"));
-    admission.server_noticed(at(0), &id("i-a"), names(per_second));
+    admission.server_noticed(at(0), &id("i-a"), notice_with_limit(per_second));
     admission
 }
 
 #[test]
-fn attempts_that_can_go_elsewhere_do_not_wait_for_the_limit() {
+fn attempts_that_can_go_to_another_server_do_not_wait_for_the_limit() {
     let mut admission = limited_admission(10.0);
-    let verdict = admission.arrive(at(1), &attempt("r", 0, true), open);
+    let verdict = admission.arrive(at(1), &attempt("r", 0, true), open_level);
     let refused = Verdict::Refuse {
         reason: NotRunReason::RateLimited,
         retry_after: None,
@@ -150,12 +150,13 @@
 }
 
 #[test]
-fn the_most_urgent_run_first_where_nobody_has_room() {
+fn waiting_attempt_with_the_highest_priority_starts_first() {
     let mut admission = limited_admission(10.0);
-    let Verdict::Wait(low) = admission.arrive(at(1), &attempt("low", 3, false), open) else {
+    let Verdict::Wait(low) = admission.arrive(at(1), &attempt("low", 3, false), open_level) else {
         panic!("it waits");
     };
-    let Verdict::Wait(high) = admission.arrive(at(2), &attempt("high", 90, false), open) else {
+    let Verdict::Wait(high) = admission.arrive(at(2), &attempt("high", 90, false), open_level)
+    else {
         panic!("it waits");
     };
     let delay = admission.next_start(at(2)).expect("some wait");
@@ -166,36 +167,36 @@
 }
 
 #[test]
-fn attempts_do_not_wait_out_their_patience_for_a_limit_that_is_named_meanwhile() {
+fn waiting_attempts_give_up_early_if_a_new_limit_makes_waiting_useless() {
     let mut admission = ServerAdmission::new("feeds", 1);
     admission.server_started(at(0), &id("i-a"));
     assert_eq!(
-        admission.arrive(at(0), &attempt("runs", 0, false), open),
+        admission.arrive(at(0), &attempt("runs", 0, false), open_level),
         Verdict::Run
     );
     let tickets: Vec<_> = (0..5)
         .map(|number| {
             let attempt = attempt(&number.to_string(), 0, false);
-            match admission.arrive(at(1), &attempt, open) {
+            match admission.arrive(at(1), &attempt, open_level) {
                 Verdict::Wait(ticket) => ticket,
                 other => panic!("{other:?}"),
             }
         })
         .collect();
     assert_eq!(admission.waiting_in_vain(at(1)), []);
-    admission.server_noticed(at(50), &id("i-a"), names(10.0));
+    admission.server_noticed(at(50), &id("i-a"), notice_with_limit(10.0));
     // One token becomes available each 100 ms: the second one comes too late to ask another server
     // within the patience of 300 ms.
     assert_eq!(admission.waiting_in_vain(at(50)), tickets[1..]);
 }
 
 #[test]
-fn a_refusal_at_the_limit_names_a_time_that_comes_true() {
+fn retry_after_of_a_refusal_at_the_limit_is_long_enough() {
     let mut admission = limited_admission(1.0);
     let mut waiting = 0;
     let refused = (1..10).find_map(|number| {
         let attempt = attempt(&number.to_string(), 0, false);
-        match admission.arrive(at(1), &attempt, open) {
+        match admission.arrive(at(1), &attempt, open_level) {
             Verdict::Refuse { retry_after, .. } => retry_after,
             _ => {
                 waiting += 1;
@@ -206,26 +207,26 @@
     let retry_after = refused.expect("only few can wait");
     assert_eq!(waiting, 0, "a second is longer than they can wait");
     let later = at(1) + retry_after;
-    let verdict = admission.arrive(later, &attempt("later", 0, false), open);
+    let verdict = admission.arrive(later, &attempt("later", 0, false), open_level);
     assert_eq!(verdict, Verdict::Run);
 }
 
 #[test]
-fn a_limit_outlives_an_entry_that_was_gone_and_ends_with_a_new_start() {
+fn limit_survives_a_missing_entry_and_ends_when_the_server_restarts() {
     let mut admission = limited_admission(1.0);
     admission.server_started(at(500), &id("i-a"));
-    assert_eq!(admission.notice(), names(1.0));
+    assert_eq!(admission.notice(), notice_with_limit(1.0));
     let later = InstanceId::new("i-a").started_at(7);
     admission.server_started(at(900), &later);
     assert_eq!(admission.notice(), ServerNotice::default());
-    let verdict = admission.arrive(at(901), &attempt("r", 0, true), open);
+    let verdict = admission.arrive(at(901), &attempt("r", 0, true), open_level);
     assert_eq!(verdict, Verdict::Run);
 }
 
 #[test]
-fn a_server_leaves_by_its_answers_until_another_start() {
+fn server_that_announced_leaving_is_leaving_until_it_restarts() {
     let mut admission = limited_admission(1.0);
-    admission.server_noticed(at(1), &id("i-a"), LEAVES);
+    admission.server_noticed(at(1), &id("i-a"), LEAVING);
     assert!(admission.says_it_leaves(&id("i-a")));
     assert!(!admission.says_it_leaves(&id("i-b")));
     let later = InstanceId::new("i-a").started_at(7);
@@ -234,11 +235,11 @@
 }
 
 #[test]
-fn an_answer_of_the_start_before_says_nothing_of_the_one_that_runs() {
+fn answer_of_a_previous_start_does_not_affect_the_running_server() {
     let mut admission = limited_admission(1.0);
     let later = InstanceId::new("i-a").started_at(7);
     admission.server_started(at(900), &later);
-    admission.server_noticed(at(901), &id("i-a"), LEAVES);
+    admission.server_noticed(at(901), &id("i-a"), LEAVING);
     assert_eq!(admission.notice(), ServerNotice::default());
 }
 
@@ -268,10 +269,10 @@
 }
 
 #[test]
-fn a_server_at_its_limit_is_passed_by_while_others_have_room() {
+fn server_at_its_limit_is_not_chosen_while_others_have_room() {
     let mut pool = pool();
     assert!(is_chosen(&pool, 0, "i-a"), "it is near");
-    pool.noticed(at(0), &id("i-a"), names(10.0));
+    pool.noticed(at(0), &id("i-a"), notice_with_limit(10.0));
     assert!(is_chosen(&pool, 0, "i-b"));
     assert!(is_chosen(&pool, 100, "i-a"), "its pace allows one");
     pool.sent(at(100), &id("i-a"));
@@ -281,24 +282,24 @@
 }
 
 #[test]
-fn a_server_at_its_limit_is_no_alternative() {
+fn server_at_its_limit_does_not_count_as_an_alternative() {
     let mut pool = pool();
     assert_eq!(chosen(&pool, 0, true), Some(("i-a".to_owned(), true)));
-    pool.noticed(at(0), &id("i-b"), names(1.0));
+    pool.noticed(at(0), &id("i-b"), notice_with_limit(1.0));
     assert_eq!(chosen(&pool, 0, true), Some(("i-a".to_owned(), false)));
 }
 
 #[test]
-fn requests_that_run_once_are_not_used_to_try_a_server_that_takes_none() {
+fn requests_that_cannot_be_retried_are_not_sent_to_a_server_with_a_limit_of_zero() {
     let mut pool = pool();
-    pool.noticed(at(0), &id("i-a"), names(0.0));
+    pool.noticed(at(0), &id("i-a"), notice_with_limit(0.0));
     let name = |now, may_repeat| chosen(&pool, now, may_repeat).map(|(name, _)| name);
     assert_eq!(name(5000, true).as_deref(), Some("i-a"));
     assert_eq!(name(5000, false).as_deref(), Some("i-b"));
 }
 
 #[test]
-fn a_node_that_is_turned_away_learns_within_a_second_that_the_limit_is_gone() {
+fn rejected_node_tries_again_within_a_second() {
     let mut pace = SendPace::new(at(0), rate(0.0));
     for second in 0..20 {
         pace.turned_away(at(second * 1000));
@@ -308,9 +309,9 @@
 }
 
 #[test]
-fn a_server_that_leaves_by_its_answers_is_not_trusted_again_with_its_next_entry() {
+fn server_that_announced_leaving_is_not_chosen_again_for_a_new_entry() {
     let mut pool = pool();
-    pool.noticed(at(0), &id("i-a"), LEAVES);
+    pool.noticed(at(0), &id("i-a"), LEAVING);
     assert!(is_chosen(&pool, 1, "i-b"));
     let mut entry = server("i-a", "a", 1);
     entry.slots += 1;
@@ -327,10 +328,10 @@
 }
 
 #[test]
-fn a_service_whose_servers_all_leave_has_none() {
+fn service_whose_servers_are_all_leaving_has_no_servers() {
     let mut pool = pool();
-    pool.noticed(at(0), &id("i-a"), LEAVES);
+    pool.noticed(at(0), &id("i-a"), LEAVING);
     assert!(pool.has_servers("feeds"));
-    pool.noticed(at(0), &id("i-b"), LEAVES);
+    pool.noticed(at(0), &id("i-b"), LEAVING);
     assert!(!pool.has_servers("feeds"));
 }
