--- a/crates/coordination/src/mesh/poison/suspects.rs
+++ b/crates/coordination/src/mesh/poison/suspects.rs
@@ -1,9 +1,9 @@
-//! What a node knows of contents that may crash servers, by its own eyes and by what
-//! other nodes tell.
+//! Evidence that a node has about request contents that may crash servers, from its own
+//! observations and from other nodes.
 //!
-//! Nodes compare digests of what they know, and fetch the whole where it differs.
-//! Knowledge only grows until it is over, and is joined entry by entry, so that all
-//! nodes that are in touch end with the same.
+//! Nodes compare digests of their evidence and fetch all of it if the digests differ. Until it
+//! expires, evidence is only added, and it is merged entry by entry, so that all connected nodes
+//! converge to the same evidence.
 
 use std::collections::{HashMap, HashSet};
 use std::hash::Hasher;
@@ -15,149 +15,158 @@
 use xxhash_rust::xxh3::Xxh3Default;
 
 use crate::mesh::poison::content::{CallerContent, ContentFingerprint};
-use crate::mesh::poison::suspicion::{Evidence, Moment, PROOF, Suspicion};
+use crate::mesh::poison::suspicion::{Evidence, PROOF, SignedTimestamp, Suspicion};
 
-/// Contents that are kept, about 200 bytes each. The ones with the fewest crashes go first.
+/// Maximum number of contents kept, about 200 bytes each. Above it, the contents with the fewest
+/// crashes are dropped first.
 const MAX_SUSPECTS: usize = 1024;
-/// A node lets one trial run in this time, unless it ends well sooner. A server may crash a moment
-/// after it has broken off its answer.
+/// Minimum time between the starts of two trials at a node, unless the first ends successfully
+/// sooner. It is needed because a server may crash shortly after it has broken off its response.
 pub const TRIAL_PAUSE: Duration = Duration::from_secs(2);
 
-/// No request is refused for a proof that is younger: a node may know of the third crash before
-/// it knows of good runs at others. Requests wait meanwhile.
+/// Minimum age of a proof before requests are refused because of it; until then requests wait. A
+/// node may learn of the third crash before it learns of successful runs at other nodes.
 pub const SETTLING: Duration = Duration::from_millis(100);
 
-/// What may be done with a request.
+/// Decision on whether a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may run.
+    /// The request may run.
     Admitted,
-    /// It crashes servers, and may be tried after this time.
+    /// The request crashes servers; a trial of it may run after this time.
     Blocked(Duration),
-    /// It crashed servers; it may run at the server that [`trial_server`] names.
+    /// The request crashed servers; a trial of it may run on the server that [`trial_server`]
+    /// selects.
     OnTrial,
 }
 
-/// A content whose standing has changed.
+/// Change of the callers for which a content is blocked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The content.
+    /// Fingerprint of the content.
     pub content: ContentFingerprint,
-    /// The callers whose requests are blocked now; empty if there are none any more.
+    /// Callers whose requests with this content are blocked now; empty if the content is no longer
+    /// blocked.
     pub blocked_callers: Vec<ServiceName>,
-    /// The servers that crashed with it aboard.
+    /// Servers whose crashes count against the content.
     pub servers: Vec<InstanceId>,
-    /// How long it is blocked.
+    /// Remaining time of the block; the longest one if it differs between callers.
     pub blocked_for: Duration,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Suspect {
     suspicion: Suspicion,
-    /// The callers for whom it was blocked when changes were last asked for.
-    told_blocked: Vec<ServiceName>,
+    /// Callers for which the content was blocked at the last call of [`Suspects::take_changes`].
+    reported_blocked_callers: Vec<ServiceName>,
 }
 
-/// A run that shows whether a content still crashes servers.
+/// Run of a blocked content that shows whether it still crashes servers.
 #[derive(Clone, Debug)]
 struct Trial {
     content: ContentFingerprint,
-    began: Timestamp,
+    started_at: Timestamp,
 }
 
-/// All that a node knows.
+/// All evidence that a node has about contents that may crash servers.
 #[derive(Clone, Debug, Default)]
 pub struct Suspects {
     suspects: HashMap<ContentFingerprint, Suspect>,
-    /// Those proven contents whose crashes others may have caused. Kept, as finding out takes a
-    /// look at all suspects, and a blocked request must cost little.
-    doubtful: HashSet<ContentFingerprint>,
-    /// The last one at the server beside this node, unless it ran well.
+    /// Proven contents whose crashes other contents may have caused. Cached, because computing it
+    /// goes through all suspects and refusing a request must be cheap.
+    ambiguous: HashSet<ContentFingerprint>,
+    /// Last trial on the server beside this node, unless it ran successfully.
     trial: Option<Trial>,
     digest: u64,
 }
 
 impl Suspects {
-    /// `server` crashed with these contents aboard. True if that is news.
+    /// Records that `server` crashed while running `contents`. Returns true if the crash
+    /// was not known for at least one of them.
     pub fn note_crash(
         &mut self,
         now: Timestamp,
-        aboard: &[CallerContent],
+        contents: &[CallerContent],
         server: &InstanceId,
     ) -> bool {
-        let at = Moment::before(now, Duration::ZERO);
+        let at = SignedTimestamp::before(now, Duration::ZERO);
         let mut is_new = false;
-        for CallerContent { content, caller } in aboard {
+        for CallerContent { content, caller } in contents {
             let suspect = self.suspects.entry(*content).or_default();
             let evidence = suspect.suspicion.evidence_mut(caller);
-            is_new |= evidence.note_crash(server, at);
+            is_new |= evidence.record_crash(server, at);
         }
-        self.bound(now);
+        self.drop_expired_and_surplus(now);
         is_new
     }
 
-    /// A server ran `request` well at `at`.
+    /// Records that a server ran `request` successfully at `at`.
     pub fn note_served(&mut self, at: Timestamp, request: &CallerContent) {
-        self.end_trial(at, &request.content);
+        self.end_successful_trial(at, &request.content);
         let Some(suspect) = self.suspects.get_mut(&request.content) else {
             return;
         };
-        let at = Moment::before(at, Duration::ZERO);
+        let at = SignedTimestamp::before(at, Duration::ZERO);
         let suspicion = &mut suspect.suspicion;
-        let before = digest(&request.content, suspicion);
-        let had_run_well = suspicion.has_run_well();
-        suspicion.evidence_mut(&request.caller).note_served(at);
-        let after = digest(&request.content, suspicion);
+        let before = content_digest(&request.content, suspicion);
+        let had_run_successfully = suspicion.has_run_successfully();
+        suspicion
+            .evidence_mut(&request.caller)
+            .record_successful_run(at);
+        let after = content_digest(&request.content, suspicion);
         self.digest = self.digest.wrapping_sub(before).wrapping_add(after);
-        if after != before || !had_run_well {
-            self.doubtful = self.find_doubtful();
+        if after != before || !had_run_successfully {
+            self.ambiguous = self.find_ambiguous_contents();
         }
     }
 
-    /// What may be done with a request.
+    /// Decides whether `request` may run at `now`.
     pub fn verdict(&self, now: Timestamp, request: &CallerContent) -> Verdict {
         match self.blocked_for(now, request) {
             None => Verdict::Admitted,
-            Some(_) if self.is_explained(request) => Verdict::Admitted,
+            Some(_) if self.is_explained_by_other_contents(request) => Verdict::Admitted,
             Some(Duration::ZERO) => Verdict::OnTrial,
             Some(left) => Verdict::Blocked(left),
         }
     }
 
-    /// How long a request is still blocked if nothing but a trial ends that; zero once it may be
-    /// tried.
+    /// Returns how much longer `request` is blocked if other contents don't explain its crashes:
+    /// zero once a trial may run, and `None` if it isn't proven to crash servers.
     fn blocked_for(&self, now: Timestamp, request: &CallerContent) -> Option<Duration> {
         let suspicion = &self.suspects.get(&request.content)?.suspicion;
-        let is_doubtful = self.doubtful.contains(&request.content);
-        suspicion.blocked_for(&request.caller, now, is_doubtful)
+        let is_ambiguous = self.ambiguous.contains(&request.content);
+        suspicion.blocked_for(&request.caller, now, is_ambiguous)
     }
 
-    /// Whether other contents explain so many of the crashes that speak against this request
-    /// that the rest prove nothing, while this one's content runs well for other callers.
+    /// Returns whether other contents explain so many of the crashes that count against `request`
+    /// that fewer than [`PROOF`] remain, while its content has run successfully for some caller.
     ///
-    /// Otherwise what is asked often is blocked with the causes of an outbreak that begins
-    /// before it has run well. One crash more that nothing explains is no proof either: servers
-    /// crash for other causes too.
-    fn is_explained(&self, request: &CallerContent) -> bool {
+    /// Without this check, a frequent content is blocked along with the causes of a series of
+    /// crashes that begins before it has run successfully. A single unexplained crash proves
+    /// nothing either, as servers crash for other reasons too.
+    fn is_explained_by_other_contents(&self, request: &CallerContent) -> bool {
         let Some(suspect) = self.suspects.get(&request.content) else {
             return false;
         };
-        if !suspect.suspicion.has_run_well() {
+        if !suspect.suspicion.has_run_successfully() {
             return false;
         }
         let causes = self.possible_causes();
-        let crashed = suspect.suspicion.servers_of(&request.caller).into_iter();
+        let crashed = suspect
+            .suspicion
+            .servers_for_caller(&request.caller)
+            .into_iter();
         crashed
             .filter(|server| !causes.contains_key(server))
             .count()
             < PROOF
     }
 
-    /// The servers that contents may have crashed which crashed others too and never ran well for
-    /// anybody, and how many such contents.
+    /// Returns, for each crashed server, the number of contents that may have caused its crash:
+    /// contents that other servers crashed with too and that never ran successfully for any caller.
     fn possible_causes(&self) -> HashMap<&InstanceId, usize> {
         let suspicions = self.suspects.values().map(|suspect| &suspect.suspicion);
-        let explaining = suspicions.filter(|suspicion| suspicion.explains_others());
+        let explaining = suspicions.filter(|suspicion| suspicion.may_explain_other_crashes());
         let mut causes = HashMap::new();
         for server in explaining.flat_map(Suspicion::servers) {
             *causes.entry(server).or_default() += 1;
@@ -165,144 +174,150 @@
         causes
     }
 
-    /// How long to wait before a request is refused for a proof that is this young; zero if
-    /// there is none, or it is old enough.
+    /// Returns how long to wait before `request` may be refused, because its proof is younger than
+    /// [`SETTLING`]; zero if there is no proof or it is old enough.
     pub fn settles_in(&self, now: Timestamp, request: &CallerContent) -> Duration {
         let suspect = self.suspects.get(&request.content);
-        let proven_for =
-            suspect.and_then(|suspect| suspect.suspicion.proven_for(&request.caller, now));
-        proven_for.map_or(Duration::ZERO, |age| SETTLING.saturating_sub(age))
+        let time_since_proof =
+            suspect.and_then(|suspect| suspect.suspicion.time_since_proof(&request.caller, now));
+        time_since_proof.map_or(Duration::ZERO, |age| SETTLING.saturating_sub(age))
     }
 
-    /// The servers that crashed with `content` aboard, as far as no good run speaks against it.
+    /// Returns the number of servers that crashed while running `content`, without crashes that a
+    /// successful run clears it of.
     pub fn crashes(&self, content: &ContentFingerprint) -> usize {
         let suspect = self.suspects.get(content);
         suspect.map_or(0, |suspect| suspect.suspicion.servers().len())
     }
 
-    /// A trial of `content` asks to run at this node's server. False if one of any content has
-    /// begun a moment ago and has not ended well: a crash under both would speak against both.
+    /// Starts a trial of `content` on this node's server. Returns false if a trial of any content
+    /// began less than [`TRIAL_PAUSE`] ago and hasn't ended successfully: a crash during both
+    /// trials would count against both contents.
     pub fn begin_trial(&mut self, now: Timestamp, content: &ContentFingerprint) -> bool {
-        let is_recent = |trial: &Trial| now.saturating_since(trial.began) < TRIAL_PAUSE;
+        let is_recent = |trial: &Trial| now.saturating_since(trial.started_at) < TRIAL_PAUSE;
         if self.trial.as_ref().is_some_and(is_recent) {
             return false;
         }
         self.trial = Some(Trial {
             content: *content,
-            began: now,
+            started_at: now,
         });
         true
     }
 
-    /// A trial that runs well makes way for the next one.
-    fn end_trial(&mut self, at: Timestamp, content: &ContentFingerprint) {
+    /// Ends the trial of `content` after a successful run at `at`, so that the next one may start.
+    fn end_successful_trial(&mut self, at: Timestamp, content: &ContentFingerprint) {
         self.trial
-            .take_if(|trial| trial.content == *content && at >= trial.began);
+            .take_if(|trial| trial.content == *content && at >= trial.started_at);
     }
 
-    /// Tells what is known apart from what another node knows; zero if nothing is.
+    /// Returns a digest of the evidence, by which nodes detect that theirs differs; zero if there
+    /// is no evidence.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// All that is suspected or was.
+    /// Returns the contents for which there is evidence, whether or not it still counts.
     pub fn contents(&self) -> Vec<ContentFingerprint> {
         self.suspects.keys().copied().collect()
     }
 
-    /// How many contents are suspected, and how many of them are proven.
+    /// Returns the number of contents with evidence and how many of them are proven to crash
+    /// servers.
     pub fn counts(&self) -> (usize, usize) {
         let suspects = self.suspects.values();
         let proven = suspects.filter(|suspect| suspect.suspicion.is_proven());
         (self.suspects.len(), proven.count())
     }
 
-    /// All that is known, for another node.
+    /// Returns all evidence as reports for another node, with ages instead of times.
     pub fn reports(&self, now: Timestamp) -> SuspectReports {
         let suspects = self.suspects.iter();
         let reports = suspects.flat_map(|(content, suspect)| {
             let evidence = suspect.suspicion.evidence();
-            evidence.map(|(caller, evidence)| report(now, *content, caller, evidence))
+            evidence.map(|(caller, evidence)| evidence_report(now, *content, caller, evidence))
         });
         SuspectReports {
             suspects: reports.collect(),
         }
     }
 
-    /// Joins what another node answered to a question of `asked`. True if it tells of a
-    /// crash that was not known.
+    /// Merges the reports with which another node answered a request sent at `asked`. Returns true
+    /// if they contain a crash that was not known.
     pub fn join(&mut self, now: Timestamp, asked: Timestamp, reports: SuspectReports) -> bool {
-        let mut news = Vec::new();
+        let mut with_new_crashes = Vec::new();
         for report in reports.suspects {
             let content = ContentFingerprint(u128::from_be_bytes(report.content));
-            if self.join_one(asked, content, report) {
-                news.push(content);
+            if self.merge_report(asked, content, report) {
+                with_new_crashes.push(content);
             }
         }
-        self.bound(now);
-        // What is over by now is no news.
-        news.iter()
+        self.drop_expired_and_surplus(now);
+        // Evidence that has expired by now and was dropped again doesn't count as new.
+        with_new_crashes
+            .iter()
             .any(|content| self.suspects.contains_key(content))
     }
 
-    fn join_one(
+    fn merge_report(
         &mut self,
         asked: Timestamp,
         content: ContentFingerprint,
         report: SuspectReport,
     ) -> bool {
-        // From the question on: an age may be told too great, and never too small.
-        let moment = |age_ms| Moment::before(asked, Duration::from_millis(age_ms));
+        // Ages are counted back from when the request was sent, which can make evidence seem too
+        // old, but never too recent.
+        let time_of_age = |age_ms| SignedTimestamp::before(asked, Duration::from_millis(age_ms));
         let caller = ServiceName::new(&report.caller);
         let known = self.suspects.entry(content).or_default();
         let known = known.suspicion.evidence_mut(&caller);
         let mut is_new = false;
         for crash in &report.crashes {
-            is_new |= known.note_crash(&crash.server, moment(crash.age_ms));
+            is_new |= known.record_crash(&crash.server, time_of_age(crash.age_ms));
         }
-        if let Some(served) = report.served_ms {
-            known.note_served(moment(served));
+        if let Some(served_age_ms) = report.served_ms {
+            known.record_successful_run(time_of_age(served_age_ms));
         }
         is_new
     }
 
-    /// Forgets what is over.
+    /// Drops expired evidence.
     pub fn forget_old(&mut self, now: Timestamp) {
         let before = self.suspects.len();
-        self.drop_over(now);
+        self.drop_expired(now);
         if self.suspects.len() != before {
-            self.refresh();
+            self.recompute_digest_and_ambiguous();
         }
     }
 
-    fn drop_over(&mut self, now: Timestamp) {
+    fn drop_expired(&mut self, now: Timestamp) {
         self.suspects
-            .retain(|_, suspect| !suspect.suspicion.is_over(now));
+            .retain(|_, suspect| !suspect.suspicion.is_expired(now));
     }
 
-    /// The contents that were blocked, or admitted again, since this was last asked.
+    /// Returns the contents whose blocked callers have changed since the last call.
     pub fn take_changes(&mut self, now: Timestamp) -> Vec<Change> {
         let mut changes = Vec::new();
         for content in self.suspects.keys().copied().collect::<Vec<_>>() {
             let blocked = self.blocked_callers(&content);
-            let is_doubtful = self.doubtful.contains(&content);
+            let is_ambiguous = self.ambiguous.contains(&content);
             let Some(suspect) = self.suspects.get_mut(&content) else {
                 continue;
             };
-            if suspect.told_blocked == blocked {
+            if suspect.reported_blocked_callers == blocked {
                 continue;
             }
             let suspicion = &suspect.suspicion;
             let times = blocked
                 .iter()
-                .filter_map(|caller| suspicion.blocked_for(caller, now, is_doubtful));
+                .filter_map(|caller| suspicion.blocked_for(caller, now, is_ambiguous));
             changes.push(Change {
                 content,
                 servers: suspicion.servers().into_iter().cloned().collect(),
                 blocked_for: times.max().unwrap_or_default(),
                 blocked_callers: blocked.clone(),
             });
-            suspect.told_blocked = blocked;
+            suspect.reported_blocked_callers = blocked;
         }
         changes
     }
@@ -315,16 +330,16 @@
             content: *content,
             caller: caller.clone(),
         });
-        let blocked = requests.filter(|request| !self.is_explained(request));
+        let blocked = requests.filter(|request| !self.is_explained_by_other_contents(request));
         blocked.map(|request| request.caller).collect()
     }
 
-    fn bound(&mut self, now: Timestamp) {
-        self.drop_over(now);
+    fn drop_expired_and_surplus(&mut self, now: Timestamp) {
+        self.drop_expired(now);
         if self.suspects.len() > MAX_SUSPECTS {
             self.drop_least_suspected();
         }
-        self.refresh();
+        self.recompute_digest_and_ambiguous();
     }
 
     fn drop_least_suspected(&mut self) {
@@ -345,17 +360,18 @@
         }
     }
 
-    /// Finds out anew what is kept of all suspects together.
-    fn refresh(&mut self) {
+    /// Recomputes the digest and the cached set of ambiguous contents.
+    fn recompute_digest_and_ambiguous(&mut self) {
         let suspects = self.suspects.iter();
-        let digests = suspects.map(|(content, suspect)| digest(content, &suspect.suspicion));
+        let digests =
+            suspects.map(|(content, suspect)| content_digest(content, &suspect.suspicion));
         self.digest = digests.fold(0, u64::wrapping_add);
-        self.doubtful = self.find_doubtful();
+        self.ambiguous = self.find_ambiguous_contents();
     }
 
-    /// The proven contents of whose crashes others may have caused so many that the rest prove
-    /// nothing. They may be the cause all the same.
-    fn find_doubtful(&self) -> HashSet<ContentFingerprint> {
+    /// Returns the proven contents for which fewer than [`PROOF`] crashes remain without those that
+    /// other contents may have caused. They may be the cause all the same.
+    fn find_ambiguous_contents(&self) -> HashSet<ContentFingerprint> {
         let suspects = self.suspects.iter();
         let proven = suspects.filter(|(_, suspect)| suspect.suspicion.is_proven());
         let proven: Vec<_> = proven.collect();
@@ -363,39 +379,41 @@
             return HashSet::new();
         }
         let causes = self.possible_causes();
-        let is_doubtful = |(_, suspect): &(&ContentFingerprint, &Suspect)| {
-            let own = usize::from(suspect.suspicion.explains_others());
+        let is_ambiguous = |(_, suspect): &(&ContentFingerprint, &Suspect)| {
+            let own = usize::from(suspect.suspicion.may_explain_other_crashes());
             let servers = suspect.suspicion.servers().into_iter();
             let other_causes = |server| causes.get(server).copied().unwrap_or_default() - own;
             servers.filter(|server| other_causes(*server) == 0).count() < PROOF
         };
-        let doubtful = proven.into_iter().filter(is_doubtful);
-        doubtful.map(|(content, _)| *content).collect()
+        let ambiguous = proven.into_iter().filter(is_ambiguous);
+        ambiguous.map(|(content, _)| *content).collect()
     }
 }
 
-/// Does not depend on moments, which differ a little from node to node.
-fn digest(content: &ContentFingerprint, suspicion: &Suspicion) -> u64 {
+/// Computes the digest of the evidence about one content. It doesn't include times, which differ
+/// slightly between nodes.
+fn content_digest(content: &ContentFingerprint, suspicion: &Suspicion) -> u64 {
     let mut hasher = Xxh3Default::new();
     hasher.update(&content.0.to_be_bytes());
     for (caller, evidence) in suspicion.evidence() {
         hasher.update(caller.as_str().as_bytes());
-        hasher.update(&(evidence.counted().count() as u64).to_be_bytes());
+        hasher.update(&(evidence.counted_crashes().count() as u64).to_be_bytes());
         for (server, _) in evidence.crashes() {
-            // With its start: the same server may crash again under its identity.
+            // Includes the start time, because a restarted server may crash again under the same
+            // ID.
             hasher.update(server.to_string().as_bytes());
         }
     }
     hasher.finish()
 }
 
-fn report(
+fn evidence_report(
     now: Timestamp,
     content: ContentFingerprint,
     caller: &ServiceName,
     evidence: &Evidence,
 ) -> SuspectReport {
-    let age_ms = |at: Moment| {
+    let age_ms = |at: SignedTimestamp| {
         let age = at.age(now);
         u64::try_from(age.as_micros().div_ceil(1000)).unwrap_or(u64::MAX)
     };
@@ -409,13 +427,14 @@
                 age_ms: age_ms(at),
             })
             .collect(),
-        served_ms: evidence.served().map(age_ms),
+        served_ms: evidence.last_successful_run().map(age_ms),
     }
 }
 
-/// The one server of `servers` at which a content may be tried: all nodes that know the
-/// same servers name the same one, so that their trials don't add up. None for the last
-/// server of a service, which a trial might end.
+/// Selects the server of `servers` on which a trial of `content` may run. All nodes that know the
+/// same servers select the same one, so that the number of trials doesn't grow with the number of
+/// nodes. Returns `None` if there are fewer than two servers, as the trial might crash the last
+/// server of a service.
 pub fn trial_server<'s>(
     content: &ContentFingerprint,
     servers: &'s [InstanceId],
