--- a/crates/coordination/src/outbound/call_state.rs
+++ b/crates/coordination/src/outbound/call_state.rs
@@ -1,4 +1,4 @@
-//! A call in progress on this node.
+//! State of a call in progress on this node.
 
 use std::time::Duration;
 
@@ -9,36 +9,37 @@
 use super::server_state::Outcome;
 use super::{AttemptAnswer, AttemptId, Call};
 
-/// The attempt that a call waits for.
+/// The attempt whose answer a call is waiting for.
 #[derive(Clone, Copy, Debug)]
 pub struct CurrentAttempt {
-    /// Its number.
+    /// Number of the attempt.
     pub id: AttemptId,
-    /// Where it went.
+    /// The server that the attempt was sent to.
     pub server: NodeId,
-    /// Retries lent with it.
+    /// Retries that the attempt's server may spend on nested calls.
     pub lent: RetryAllowance,
-    /// Its answer is being passed on to the caller.
+    /// Whether the attempt's answer is being passed on to the caller.
     pub delivered: bool,
 }
 
-/// How an attempt came to nothing.
+/// How an attempt ended that gave the caller no successful answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Failure {
-    /// It may have run.
+    /// Whether the back end may have run the attempt.
     pub may_have_run: bool,
-    /// What came back of the retries lent with it.
+    /// Retries lent with the attempt that its server returned unspent.
     pub unspent: RetryAllowance,
 }
 
 impl Failure {
-    /// The attempt is given up without an answer: what was lent counts as spent.
+    /// An attempt given up without an answer: all retries lent with it count as
+    /// spent.
     pub const NO_ANSWER: Failure = Failure {
         may_have_run: true,
         unspent: RetryAllowance(0),
     };
 
-    /// The failure that an answer tells of.
+    /// The failure that a server's answer reports.
     pub fn told_by(answer: &AttemptAnswer) -> Self {
         Failure {
             may_have_run: !matches!(answer.result, AttemptResult::NotRun { .. }),
@@ -47,27 +48,29 @@
     }
 }
 
-/// A call and what became of its attempts so far.
+/// A call and the outcome of its attempts so far.
 #[derive(Debug)]
 pub struct CallState {
-    /// The call as it arrived.
+    /// The call as it arrived from the local caller.
     pub call: Call,
-    /// Retries left to spend or lend.
+    /// Retries that the call may still spend itself or lend to an attempt.
     pub allowance: u8,
-    /// The attempt in progress.
+    /// The attempt in progress, if there is one.
     pub current: Option<CurrentAttempt>,
-    /// Servers that failed the call.
+    /// Servers to which an attempt of this call was sent and failed.
     pub tried: Vec<NodeId>,
-    /// The side that the weights gave the call to.
+    /// The side that the table's weights assigned the call to; none before the
+    /// first attempt.
     pub side: Option<Side>,
-    /// Some attempt may have run.
+    /// Whether the back end may have run an attempt that has ended.
     pub may_have_run: bool,
-    /// When the call must be looked at again.
+    /// When the call's timer fires: the current attempt has taken unusually long
+    /// or the call's deadline has come.
     pub timer: Timestamp,
 }
 
 impl CallState {
-    /// A call that has just arrived.
+    /// Creates the state of a call that has just arrived.
     pub fn new(call: Call) -> Self {
         CallState {
             allowance: call.context.allowance.0,
@@ -80,8 +83,9 @@
         }
     }
 
-    /// Starts an attempt: lends it all but one of the retries left, so that one
-    /// stays for this hop if the answer is lost. A last one is lent.
+    /// Starts an attempt and lends it all but one of the call's remaining
+    /// retries, so that this hop keeps one in case the answer is lost. A single
+    /// remaining retry is lent.
     pub fn begin_attempt(&mut self, id: AttemptId, server: NodeId) -> RequestContext {
         let lent = match self.allowance {
             0 | 1 => self.allowance,
@@ -100,7 +104,7 @@
         context
     }
 
-    /// Ends the current attempt.
+    /// Ends the current attempt as failed and records its server as tried.
     pub fn end_attempt(&mut self, failure: Failure) {
         self.allowance = self.allowance_after(failure);
         self.may_have_run |= failure.may_have_run;
@@ -108,26 +112,27 @@
             .extend(self.current.take().map(|attempt| attempt.server));
     }
 
-    /// Retries left once the current attempt has ended; never more than was
-    /// lent with it comes back.
+    /// Retries that the call has left if the current attempt ends in `failure`.
+    /// At most the number lent with the attempt is added back.
     pub fn allowance_after(&self, failure: Failure) -> u8 {
         let lent = self.current.map_or(0, |attempt| attempt.lent.0);
         self.allowance + failure.unspent.0.min(lent)
     }
 
-    /// The servers that a next attempt must not go to.
+    /// The servers that the next attempt must not be sent to.
     pub fn tried_with_current(&self) -> Vec<NodeId> {
         let current = self.current.map(|attempt| attempt.server);
         self.tried.iter().copied().chain(current).collect()
     }
 
-    /// Whether the call could be repeated if its attempt were lost.
+    /// Whether the call could be sent again if the answer to its attempt were
+    /// lost.
     pub fn may_repeat(&self) -> bool {
         self.call.repeatable && self.call.replayable && self.allowance > 0
     }
 
-    /// What the retry decision is asked about if the current attempt ends in
-    /// `failure` and the next is likely to take `likely_duration`.
+    /// The input of the retry decision if the current attempt ends in `failure`
+    /// and the next one is expected to take `likely_duration`.
     pub fn failed_attempt(
         &self,
         now: Timestamp,
@@ -145,9 +150,10 @@
     }
 }
 
-/// What an answer says about the server it came from. A refusal by a node is
-/// load; a refusal by its back end may be that, but is also what a back end
-/// that is gone looks like, so it counts as a failure beside other servers.
+/// Classifies an answer for the record of the server that sent it. A refusal by
+/// a node means load. A refusal by its back end may mean load as well, but a back
+/// end that no longer runs looks the same, so it counts as a failure when the
+/// server is compared with others.
 pub fn outcome_of(answer: &AttemptAnswer) -> Outcome {
     match answer.result {
         AttemptResult::Completed { success: true } => Outcome::Succeeded,
--- a/crates/coordination/src/outbound/call_table.rs
+++ b/crates/coordination/src/outbound/call_table.rs
@@ -1,4 +1,4 @@
-//! The calls in progress, found by call, by attempt and by time.
+//! The calls in progress, indexed by call, by attempt and by timer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
 use super::call_state::CallState;
 use super::{AttemptId, CallId};
 
-/// All calls in progress on a node.
+/// Table of all calls in progress on a node.
 #[derive(Debug, Default)]
 pub struct CallTable {
     calls: BTreeMap<CallId, CallState>,
@@ -16,38 +16,39 @@
 }
 
 impl CallTable {
-    /// Adds a call; its timer is set to what its state says.
+    /// Adds a call and schedules the timer stored in its state.
     pub fn insert(&mut self, id: CallId, state: CallState) {
         self.timers.insert((state.timer, id));
         self.calls.insert(id, state);
     }
 
-    /// A call.
+    /// The state of a call in progress.
     pub fn get(&self, id: CallId) -> Option<&CallState> {
         self.calls.get(&id)
     }
 
-    /// A call, to be changed.
+    /// The mutable state of a call in progress; its timer must be changed with
+    /// [`CallTable::set_timer`] only.
     pub fn get_mut(&mut self, id: CallId) -> Option<&mut CallState> {
         self.calls.get_mut(&id)
     }
 
-    /// The call whose attempt this is.
+    /// The call that an attempt belongs to.
     pub fn call_of(&self, attempt: AttemptId) -> Option<CallId> {
         self.attempts.get(&attempt).copied()
     }
 
-    /// An attempt of a call has begun.
+    /// Records that an attempt of a call has begun.
     pub fn link(&mut self, attempt: AttemptId, id: CallId) {
         self.attempts.insert(attempt, id);
     }
 
-    /// An attempt is over; what is heard of it from now on is ignored.
+    /// Removes an attempt that has ended; later events about it are ignored.
     pub fn unlink(&mut self, attempt: AttemptId) {
         self.attempts.remove(&attempt);
     }
 
-    /// Takes a call out with its attempt and timer.
+    /// Removes a call together with its current attempt and its timer.
     pub fn remove(&mut self, id: CallId) -> Option<CallState> {
         let state = self.calls.remove(&id)?;
         self.timers.remove(&(state.timer, id));
@@ -57,7 +58,7 @@
         Some(state)
     }
 
-    /// Sets when a call must be looked at again, at the latest its deadline.
+    /// Schedules a call's timer, no later than the call's deadline.
     pub fn set_timer(&mut self, id: CallId, timer: Timestamp) {
         if let Some(state) = self.calls.get_mut(&id) {
             self.timers.remove(&(state.timer, id));
@@ -66,14 +67,14 @@
         }
     }
 
-    /// The call need not be looked at any more.
+    /// Cancels a call's timer.
     pub fn stop_timer(&mut self, id: CallId) {
         if let Some(state) = self.calls.get(&id) {
             self.timers.remove(&(state.timer, id));
         }
     }
 
-    /// Takes the timer of a call that is due.
+    /// Removes the earliest timer that is due and returns its call.
     pub fn pop_due(&mut self, now: Timestamp) -> Option<CallId> {
         let &(due, id) = self.timers.first()?;
         if due > now {
@@ -83,7 +84,7 @@
         Some(id)
     }
 
-    /// The earliest timer.
+    /// When the earliest timer fires.
     pub fn next_timer(&self) -> Option<Timestamp> {
         self.timers.first().map(|(due, _)| *due)
     }
--- a/crates/coordination/src/outbound/edge.rs
+++ b/crates/coordination/src/outbound/edge.rs
@@ -1,4 +1,5 @@
-//! One edge of the call graph: this node's calls to one service.
+//! One edge of the call graph: this node's calls to one service and what they
+//! revealed about its servers.
 
 mod choice;
 
@@ -20,55 +21,58 @@
 use crate::latency::LatencyEstimate;
 use crate::retry::RetryBudget;
 
-/// An attempt is not given up for another before this.
+/// An attempt runs at least this long before another server is tried instead.
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(50);
-/// Nor before this many times the time that almost every answer takes.
+/// An attempt also runs at least this many times the latency that almost every
+/// answer stays under before another server is tried instead.
 const ATTEMPT_TIMEOUT_FACTOR: u32 = 2;
 
-/// What a call asks of the choice of a server.
+/// Requirements of a call on the server chosen for it.
 #[derive(Clone, Debug)]
 pub struct Wanted<'a> {
-    /// The call's place in the order of shedding.
+    /// The call's priority, which decides the order in which load is shed.
     pub priority: Priority,
-    /// Servers that were tried before.
+    /// Servers that earlier attempts of the call were sent to.
     pub tried: &'a [NodeId],
-    /// The side of the first attempt, if this is a retry.
+    /// The side assigned to the call's first attempt, if this is a retry.
     pub side: Option<Side>,
-    /// Whether the call could be repeated if a server on trial fails it.
+    /// Whether a half-open server may be chosen: the call can be sent again if
+    /// that server fails it.
     pub may_try: bool,
-    /// Whether the server must have room, as far as is known.
+    /// Whether the server must have spare capacity, as far as this node knows.
     pub needs_room: bool,
 }
 
 /// The server chosen for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Chosen {
-    /// Its node.
+    /// The node that the attempt is sent to.
     pub server: NodeId,
-    /// The side that the weights gave the call to.
+    /// The side that the table's weights assigned the call to.
     pub side: Side,
-    /// Whether the other side had to carry it.
+    /// Whether the server belongs to the other side, because the assigned side
+    /// could not take the call.
     pub spilled: bool,
 }
 
-/// What this node has seen of one service.
+/// What this node has observed of one service and its servers.
 #[derive(Debug)]
 pub struct Edge {
     service: ServiceName,
     zone: Zone,
     side_choice: SideChoice,
     servers: BTreeMap<NodeId, ServerRecord>,
-    /// Latency of good answers over all servers.
+    /// Latency of successful answers over all servers of the service.
     pub latency: LatencyEstimate,
-    /// Retries that the edge can pay for.
+    /// Budget that limits retries to a share of the edge's first attempts.
     pub budget: RetryBudget,
     counts: BTreeMap<Side, SideCounts>,
-    /// Classes kept out after calls were refused without an attempt.
+    /// Priority classes refused after calls were refused without an attempt.
     pub class_floor: ClassFloor,
 }
 
 impl Edge {
-    /// The edge from a node in `zone` to `service`.
+    /// Creates the edge from a node in `zone` to `service`.
     pub fn new(service: ServiceName, zone: Zone, random: &mut impl Rng) -> Self {
         Edge {
             service,
@@ -82,14 +86,15 @@
         }
     }
 
-    /// What was seen of a server.
+    /// The record of a server, created if the server is new.
     pub fn server_mut(&mut self, now: Timestamp, node: NodeId) -> &mut ServerRecord {
         self.servers
             .entry(node)
             .or_insert_with(|| ServerRecord::new(now))
     }
 
-    /// An attempt ended, and its server may have told its load.
+    /// Records the outcome of an attempt and the server's load, if it was
+    /// reported.
     pub fn learn(
         &mut self,
         now: Timestamp,
@@ -108,22 +113,23 @@
         }
     }
 
-    /// An answer's body is being passed on from a server.
+    /// Records that the body of a server's answer is being passed on.
     pub fn streams(&mut self, server: NodeId, attempt: AttemptId) {
         if let Some(record) = self.servers.get_mut(&server) {
             record.streams(attempt);
         }
     }
 
-    /// The last byte of an answer has passed, or the attempt was given up.
+    /// Records that the last byte of an answer has been passed on, or that the
+    /// attempt was given up.
     pub fn closed(&mut self, server: NodeId, attempt: AttemptId) {
         if let Some(record) = self.servers.get_mut(&server) {
             record.closed(attempt);
         }
     }
 
-    /// How long an attempt of a call that has `remaining` time is waited for
-    /// before another server is considered.
+    /// How long an attempt may take before another server is considered, for a
+    /// call with `remaining` time until its deadline.
     pub fn attempt_timeout(&self, remaining: Duration) -> Duration {
         if !self.latency.is_known() {
             return remaining / 2;
@@ -132,16 +138,16 @@
         usual.max(MIN_ATTEMPT_TIMEOUT)
     }
 
-    /// The process was paused.
+    /// Resets time-based records after the process was paused.
     pub fn resumed(&mut self, now: Timestamp) {
         for server in self.servers.values_mut() {
             server.resumed(now);
         }
     }
 
-    /// The lowest priority that the service admits: everything while a side is
-    /// open, as it can take over; otherwise the mean of both sides. Sides that
-    /// can't be reached do not count.
+    /// The lowest priority that the service admits. While one side admits every
+    /// priority the service does too, because that side can take over; otherwise
+    /// it is the mean of both sides. Sides that can't be reached do not count.
     pub fn level(&self, now: Timestamp, view: &View) -> AdmissionLevel {
         let weights = self.weights(view);
         let levels: Vec<AdmissionLevel> = Side::ALL
@@ -156,8 +162,9 @@
         AdmissionLevel(sum / levels.len().max(1) as u16)
     }
 
-    /// The mean of what a side's servers said lately. Their calls are spread by
-    /// load, so that one of them alone says little.
+    /// The mean of the admission levels that a side's servers reported recently.
+    /// Calls are spread over the servers by load, so the level of a single server
+    /// says little.
     fn side_level(&self, now: Timestamp, view: &View, side: Side) -> AdmissionLevel {
         let levels: Vec<u64> = self
             .routable(now, view, side)
@@ -170,7 +177,7 @@
         AdmissionLevel(mean as u16)
     }
 
-    /// Leaves out servers that fail while others do better.
+    /// Ejects servers that fail while others do better.
     pub fn eject_outliers(&mut self, now: Timestamp, view: &View) {
         for server in self.servers.values_mut() {
             server.ejection.refresh(now);
@@ -203,7 +210,8 @@
         servers.outliers(now)
     }
 
-    /// Forgets servers that are no longer listed.
+    /// Removes the records of servers that are no longer in the directory, once
+    /// they have no call in progress.
     pub fn forget_unlisted(&mut self, view: &View) {
         let listed = view.directory.servers(&self.service);
         self.servers.retain(|node, server| {
@@ -217,8 +225,8 @@
         }
     }
 
-    /// Servers that may get new work: those serving, or if there are none,
-    /// those suspected.
+    /// Servers of a side that may get new calls: those in state `Serving`, or if
+    /// there are none, those in state `Suspected`.
     fn routable(&self, now: Timestamp, view: &View, side: Side) -> Vec<Candidate<'_>> {
         let of_state = |state: ServerState| -> Vec<Candidate<'_>> {
             view.directory
@@ -246,7 +254,7 @@
         })
     }
 
-    /// Counts an attempt that is being sent.
+    /// Counts an attempt that is being sent to the chosen server.
     pub fn count(&mut self, chosen: Chosen, is_retry: bool) {
         let counts = self.counts.entry(chosen.side).or_default();
         if is_retry {
@@ -257,7 +265,7 @@
         }
     }
 
-    /// What operators are told.
+    /// The report on this edge that operators see.
     pub fn report(&self, now: Timestamp, view: &View) -> EdgeReport {
         let sides = Side::ALL
             .into_iter()
@@ -284,7 +292,7 @@
         }
     }
 
-    /// Whether a side has a server in use.
+    /// Whether a side has a server in normal use.
     fn is_reachable(&self, now: Timestamp, view: &View, side: Side) -> bool {
         let servers = self.routable(now, view, side);
         servers
@@ -292,7 +300,7 @@
             .any(|candidate| candidate.record.ejection.is_in_use())
     }
 
-    /// The table's weights; a side without servers has none.
+    /// The table's weights; a side without servers has weight 0.
     fn weights(&self, view: &View) -> SideWeights {
         let weight = |side| {
             let row = view.table.row(&self.service, side);
--- a/crates/coordination/src/outbound/edge/choice.rs
+++ b/crates/coordination/src/outbound/edge/choice.rs
@@ -1,5 +1,6 @@
-//! Which server gets an attempt: the side by the table's weights, then the
-//! server; the other side if that one can't carry the call.
+//! Choice of the server for an attempt: first the side by the table's weights,
+//! then a server of that side, or of the other side if the first one can't take
+//! the call.
 
 use std::time::Duration;
 
@@ -11,27 +12,30 @@
 use crate::View;
 use crate::outbound::server_choice::{Candidate, ChoiceContext, choose_server};
 
-/// A side takes over calls of one that is overloaded only below this utilization.
+/// A side takes over calls of an overloaded side only up to this utilization, in
+/// calls per call allowed in flight.
 const SPILL_UTILIZATION: f64 = 0.8;
-/// A server is not taken for silent before this.
+/// A server counts as responsive for at least this long after it began to owe an
+/// answer.
 const MIN_HEARD_WITHIN: Duration = Duration::from_millis(50);
-/// Utilization of a server that has no room.
+/// Utilization at which a server has no spare capacity.
 const FULL: f64 = 1.0;
 
-/// Which servers are good enough.
+/// Condition that a server must meet to be chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Trust {
-    /// In use, and not owing an answer for longer than usual.
+    /// The server is in use or half-open and has not owed an answer for longer
+    /// than the mean latency.
     HeardOf,
-    /// In use.
+    /// The server is in use or half-open.
     InUse,
 }
 
 impl Edge {
     /// Chooses a server for an attempt.
     ///
-    /// A call that could not be repeated looks for a server heard of lately, on
-    /// either side, before it takes one that may have fallen silent.
+    /// For a call that could not be sent again, a responsive server of either
+    /// side is looked for before one that may have stopped answering.
     pub fn choose(
         &mut self,
         now: Timestamp,
@@ -56,7 +60,8 @@
             .ok_or_else(|| self.refusal(view, side))
     }
 
-    /// A server of the side, or of the other one if it may take over.
+    /// Chooses an eligible server of the side, or of the other side if that one
+    /// may take over.
     fn choose_trusted(
         &self,
         now: Timestamp,
@@ -91,8 +96,9 @@
         })
     }
 
-    /// Whether a side may carry a call that the weights gave to the other one.
-    /// For a side that can't be reached it does so whatever its load.
+    /// Whether a side may take over a call that the weights assigned to the other
+    /// side. It takes over for a side that can't be reached whatever its own
+    /// utilization.
     fn may_take_over(
         &self,
         now: Timestamp,
@@ -106,7 +112,8 @@
             && (other_is_lost || self.utilization(now, view, side) <= SPILL_UTILIZATION)
     }
 
-    /// With no server in use on any side, those left out are better than none.
+    /// Chooses among all routable servers of the side, ejected ones included, if
+    /// no server of either side is in use: an ejected server is better than none.
     fn choose_any(
         &self,
         now: Timestamp,
@@ -139,7 +146,7 @@
         }
     }
 
-    /// The servers in use, and those on trial.
+    /// The servers of a side that are in use or half-open and meet `trust`.
     fn trusted(&self, now: Timestamp, view: &View, side: Side, trust: Trust) -> Vec<Candidate<'_>> {
         let usual = self.latency.mean().max(MIN_HEARD_WITHIN);
         self.routable(now, view, side)
@@ -185,7 +192,8 @@
     candidate.record.ejection.is_in_use()
 }
 
-/// A server on trial that this call may try.
+/// A half-open server that this call may use: it has no call in progress, and
+/// the call can be sent again or the server has waited too long for such a call.
 fn server_to_try(now: Timestamp, on_trial: &[Candidate<'_>], may_try: bool) -> Option<NodeId> {
     on_trial
         .iter()
--- a/crates/coordination/src/outbound/edge_report.rs
+++ b/crates/coordination/src/outbound/edge_report.rs
@@ -1,39 +1,40 @@
-//! What operators are told of the calls from one node to one service.
+//! Report for operators on the calls from one node to one service.
 
 use lifthollow_protocol::AdmissionLevel;
 use lifthollow_state::{ServiceName, Side};
 
-/// Counts of one side since the node started.
+/// Counts of attempts for one side of a service since the node started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SideCounts {
-    /// First attempts that the weights gave to the side.
+    /// First attempts that the table's weights assigned to the side.
     pub given: u64,
-    /// Those of them that the other side had to carry.
+    /// First attempts assigned to the side that were sent to the other side.
     pub spilled: u64,
-    /// Further attempts of such calls.
+    /// Further attempts of calls that the weights assigned to the side.
     pub retries: u64,
 }
 
-/// One side of a service, as its callers' node sees it.
+/// State of one side of a service as observed by the calling node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SideReport {
-    /// The side.
+    /// The side that the report describes.
     pub side: Side,
-    /// Counts since the node started.
+    /// Counts of attempts since the node started.
     pub counts: SideCounts,
-    /// Servers in normal use.
+    /// Number of the side's servers in normal use.
     pub servers_in_use: usize,
-    /// Servers left out or on trial because they fail.
+    /// Number of the side's servers that are ejected or half-open because they
+    /// failed.
     pub servers_left_out: usize,
-    /// Lowest priority that the side's servers admit.
+    /// Mean of the lowest priorities that the side's servers admit.
     pub level: AdmissionLevel,
 }
 
-/// Calls from one node to one service.
+/// Report on the calls from one node to one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EdgeReport {
-    /// The service.
+    /// The service called.
     pub service: ServiceName,
-    /// Its sides, the old one first.
+    /// The sides of the service, the old one first.
     pub sides: Vec<SideReport>,
 }
--- a/crates/coordination/src/outbound/ejection.rs
+++ b/crates/coordination/src/outbound/ejection.rs
@@ -1,4 +1,5 @@
-//! Servers that fail are left out for a while, as long as others do better.
+//! Ejection state of one server: a failing server is excluded for a while and
+//! then half-open until a trial attempt succeeds.
 
 use std::time::Duration;
 
@@ -6,39 +7,46 @@
 
 use super::server_state::Outcome;
 
-/// Share of a new outcome in the failure rate.
+/// Weight of a new outcome in the moving average of the failure rate.
 const FAILURE_GAIN: f64 = 0.1;
-/// Failures in a row that mark a server as failing.
+/// Number of consecutive failures that marks a server as failing.
 const FAILURES_IN_A_ROW: u32 = 5;
-/// Failure rate that marks a server as failing.
+/// Share of failed attempts that marks a server as failing.
 const FAILURE_RATE: f64 = 0.5;
-/// Times without contact in a row that mark a server as unreachable.
+/// Number of attempts without contact, with no success in between, that marks a
+/// server as unreachable.
 const UNREACHABLE_IN_A_ROW: u32 = 2;
-/// The first ejection lasts this long, each further one twice as long.
+/// Duration of the first ejection; each further one lasts twice as long as the
+/// one before.
 const BASE_DURATION: Duration = Duration::from_millis(500);
+/// Longest duration of an ejection.
 const MAX_DURATION: Duration = Duration::from_secs(4);
-/// A server on trial waits this long for a call that may be repeated.
+/// How long a half-open server waits for a call that can be sent again, before
+/// any call may be its trial attempt.
 const TRIAL_PATIENCE: Duration = Duration::from_secs(10);
-/// After this long without a failure, earlier ejections are forgotten.
+/// After this long without a failure, a success resets the count of earlier
+/// ejections.
 const FORGIVEN_AFTER: Duration = Duration::from_secs(30);
 
-/// How sure the evidence against a server is.
+/// Kind of evidence that a server fails, in order of increasing certainty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Evidence {
-    /// It answers with errors: perhaps its callers' fault.
+    /// The server answers with errors, which may be its callers' fault.
     Errors,
-    /// It can't be reached, or has stopped answering.
+    /// The server can't be reached or has stopped answering.
     Silence,
 }
 
-/// Whether a server is in use.
+/// Whether a server gets attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Status {
+    /// The server is in normal use.
     #[default]
     InUse,
-    /// Left out until the time given.
+    /// The server gets no attempts until the given time.
     Ejected { until: Timestamp },
-    /// One attempt at a time may try it, since the time given.
+    /// The server has been open to one trial attempt at a time since the given
+    /// time.
     OnTrial { since: Timestamp },
 }
 
@@ -55,7 +63,7 @@
 }
 
 impl Ejection {
-    /// Takes in the outcome of an attempt.
+    /// Records the outcome of an attempt sent to the server.
     pub fn record(&mut self, now: Timestamp, outcome: Outcome) {
         match outcome {
             Outcome::Succeeded | Outcome::Refused => self.succeeded(now),
@@ -90,7 +98,7 @@
         }
     }
 
-    /// The evidence against a server in use, if there is enough.
+    /// The evidence that a server in use fails, if there is enough of it.
     pub fn evidence(&self) -> Option<Evidence> {
         if self.status != Status::InUse {
             None
@@ -103,7 +111,7 @@
         }
     }
 
-    /// Leaves the server out for a while.
+    /// Ejects the server for a duration that doubles with each ejection.
     pub fn eject(&mut self, now: Timestamp) {
         let doubled = BASE_DURATION * 2_u32.saturating_pow(self.ejections.min(8));
         self.status = Status::Ejected {
@@ -115,7 +123,7 @@
         self.last_failure = now;
     }
 
-    /// Puts a server whose time is over on trial.
+    /// Makes the server half-open once its ejection has expired.
     pub fn refresh(&mut self, now: Timestamp) {
         if let Status::Ejected { until } = self.status
             && until <= now
@@ -129,13 +137,14 @@
         self.status == Status::InUse
     }
 
-    /// Whether one attempt at a time may try the server.
+    /// Whether the server is half-open, so that one trial attempt at a time may
+    /// be sent to it.
     pub fn is_on_trial(&self) -> bool {
         matches!(self.status, Status::OnTrial { .. })
     }
 
-    /// Whether no call that may be repeated has come by to try the server, so
-    /// that any call may.
+    /// Whether the server has been half-open for so long without a trial attempt
+    /// by a call that can be sent again that any call may be the trial.
     pub fn trial_is_overdue(&self, now: Timestamp) -> bool {
         match self.status {
             Status::OnTrial { since } => now.saturating_since(since) > TRIAL_PATIENCE,
@@ -143,7 +152,7 @@
         }
     }
 
-    /// Share of recent attempts that failed.
+    /// Moving average of the share of attempts that failed, from 0 to 1.
     pub fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
--- a/crates/coordination/src/outbound/mod.rs
+++ b/crates/coordination/src/outbound/mod.rs
@@ -1,13 +1,14 @@
-//! The caller's side of a call: which server gets which attempt, and what the
-//! caller is told.
+//! The caller's side of a call: which server each attempt is sent to, and what
+//! the caller is answered.
 //!
-//! A *call* is what a local caller asked for. Each try to run it on a server is
-//! an *attempt*. The transport (or the simulation) reports what happens to
+//! A *call* is a request of a local caller. Each try to run it on a server is an
+//! *attempt*. The transport (or the simulation) reports what happens to
 //! attempts as [`OutboundEvent`]s and carries out [`OutboundEffect`]s.
 //!
 //! [`routing`] is the product's policy. For each service an [`edge`] holds what
-//! was seen and composes [`side_choice`], [`server_choice`], [`ejection`] and
-//! [`outlier_detection`]; [`retry_decision`] says what follows a failure.
+//! was observed of its servers and composes [`side_choice`], [`server_choice`],
+//! [`ejection`] and [`outlier_detection`]; [`retry_decision`] decides whether a
+//! failed attempt may be followed by another.
 
 pub mod call_state;
 pub mod call_table;
@@ -32,26 +33,28 @@
 use crate::View;
 use crate::inbound::InboundId;
 
-/// A call in progress on this node, numbered by whoever feeds the node events.
+/// Number of a call in progress on this node, assigned by the caller of
+/// [`OutboundPolicy::handle`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// An attempt in progress on this node, numbered by the outbound policy.
+/// Number of an attempt in progress on this node, assigned by the outbound policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
 /// A call as it arrives from a local caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// The service wanted.
+    /// The service called.
     pub service: ServiceName,
-    /// What the call carries across hops.
+    /// Metadata that the call carries across hops.
     pub context: RequestContext,
-    /// The attempt on this node whose back end makes the call; none at the entry.
+    /// The inbound attempt during whose run the local back end makes the call;
+    /// none where the request enters from outside.
     pub parent: Option<InboundId>,
     /// Whether the caller declares that the call may be run again.
     pub repeatable: bool,
-    /// Whether the body is at hand to be sent again.
+    /// Whether the call's body is available to be sent again.
     pub replayable: bool,
 }
 
@@ -60,51 +63,51 @@
 pub struct AttemptAnswer {
     /// How the attempt ended.
     pub result: AttemptResult,
-    /// The server's load, if the answer came from its node.
+    /// The server's load, if the answer came from the server's node.
     pub load: Option<LoadReport>,
     /// Retries lent with the attempt that were not spent.
     pub unspent: RetryAllowance,
 }
 
-/// What the outbound side is told.
+/// An event that the outbound policy must handle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OutboundEvent {
-    /// A local caller makes a call.
+    /// A local caller made a call.
     CallArrived {
-        /// The call's number.
+        /// Number of the call.
         call: CallId,
-        /// The call.
+        /// The call as it arrived.
         description: Call,
     },
     /// The head of an attempt's answer has arrived, or the attempt failed.
     AttemptAnswered {
-        /// The attempt.
+        /// The attempt that was answered or failed.
         attempt: AttemptId,
-        /// What was answered.
+        /// The server's answer, or the failure in its place.
         answer: AttemptAnswer,
     },
-    /// The last byte of a delivered answer has passed, or its stream broke.
+    /// The last byte of a delivered answer was passed on, or its stream broke.
     AttemptClosed {
-        /// The attempt.
+        /// The attempt whose answer was being passed on.
         attempt: AttemptId,
         /// False if the stream broke before its end.
         complete: bool,
     },
-    /// The caller hung up.
+    /// The caller closed its connection before the call ended.
     CallCancelled {
-        /// The call.
+        /// The call that is cancelled.
         call: CallId,
     },
-    /// The time asked for with `next_wake` has come.
+    /// The time returned by [`OutboundPolicy::next_wake`] has come.
     Wake,
-    /// The process was paused; whatever was decided before may be stale.
+    /// The process was paused; earlier decisions may be stale.
     Resumed {
-        /// How long it was paused.
+        /// How long the process was paused.
         paused_for: Duration,
     },
 }
 
-/// What the caller is told.
+/// The answer that a caller gets to its call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallAnswer {
     /// Pass on the answer of this attempt, head and body.
@@ -112,55 +115,57 @@
         /// The attempt whose answer is passed on.
         attempt: AttemptId,
     },
-    /// The call truly did not run.
+    /// No attempt of the call ran on a back end.
     NotRun {
-        /// Why it was given up.
+        /// Why the call was given up.
         reason: RefusalReason,
-        /// When the caller may come back.
+        /// How long the caller should wait before it makes the call again.
         retry_after: Duration,
     },
-    /// The call may have run.
+    /// An attempt of the call may have run on a back end.
     Unknown {
-        /// What went wrong.
+        /// Why the call has no complete answer.
         reason: RefusalReason,
-        /// When the caller may ask again by its idempotency key.
+        /// How long the caller should wait before it repeats the call with its
+        /// idempotency key.
         retry_after: Duration,
     },
 }
 
-/// What the outbound side wants done.
+/// An action that the outbound policy requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OutboundEffect {
     /// Send an attempt to a server.
     Dispatch {
-        /// The call it belongs to.
+        /// The call that the attempt belongs to.
         call: CallId,
-        /// The new attempt.
+        /// Number of the new attempt.
         attempt: AttemptId,
-        /// Where it goes.
+        /// The server that the attempt is sent to.
         server: NodeId,
-        /// What it carries.
+        /// Metadata that the attempt carries.
         context: RequestContext,
     },
     /// Give up an attempt: its server must drop or cancel it.
     Cancel {
-        /// The attempt.
+        /// The attempt to give up.
         attempt: AttemptId,
     },
-    /// Answer the caller. It is the last effect for the call.
+    /// Answer the caller. This is the last effect for the call.
     Answer {
-        /// The call.
+        /// The call that is answered.
         call: CallId,
-        /// What the caller is told.
+        /// The answer to the caller.
         answer: CallAnswer,
-        /// Retries of the call's allowance that were not spent.
+        /// Retries of the call's allowance that were not spent and return to the
+        /// attempt that made the call.
         unspent: RetryAllowance,
     },
 }
 
-/// Decisions about calls of local callers.
+/// Policy that decides about the calls of local callers.
 pub trait OutboundPolicy: Send {
-    /// Takes in one event and appends what is to be done to `effects`.
+    /// Handles one event and appends the requested actions to `effects`.
     fn handle(
         &mut self,
         now: Timestamp,
@@ -169,17 +174,17 @@
         effects: &mut Vec<OutboundEffect>,
     );
 
-    /// When the policy wants [`OutboundEvent::Wake`] next.
+    /// When the policy next needs [`OutboundEvent::Wake`], if at all.
     fn next_wake(&self) -> Option<Timestamp>;
 
     /// The lowest priority that the servers of `service` admit, as far as this
-    /// node knows. Baselines know nothing.
+    /// node knows. Baseline policies assume that every priority is admitted.
     fn level(&self, _now: Timestamp, _view: &View, _service: &ServiceName) -> AdmissionLevel {
         AdmissionLevel::OPEN
     }
 
-    /// What there is to tell operators of the services called from this node.
-    /// Baselines tell nothing.
+    /// Reports for operators on the services called from this node. Baseline
+    /// policies report nothing.
     fn reports(&self, _now: Timestamp, _view: &View) -> Vec<EdgeReport> {
         Vec::new()
     }
--- a/crates/coordination/src/outbound/outlier_detection.rs
+++ b/crates/coordination/src/outbound/outlier_detection.rs
@@ -1,10 +1,10 @@
-//! Which servers are to be left out, seen beside the others of their side.
+//! Choice of the servers to eject, by comparison with the others of their side.
 //!
 //! A server is ejected only while others do clearly better, and never so many
-//! that a misread could empty the service: errors may take out half of a side,
-//! silence and broken connections all that others stand in for. If everything
-//! fails or falls silent at once, the fault is not the servers' and none is
-//! ejected.
+//! servers that a wrong conclusion could empty the service: for errors at most half
+//! of a side is ejected, for missing answers and broken connections at most all
+//! servers that others can replace. If all servers fail or stop answering at once,
+//! the cause is not the servers and none is ejected.
 
 use std::time::Duration;
 
@@ -13,23 +13,26 @@
 use super::ejection::Evidence;
 use super::server_state::ServerRecord;
 
-/// A server that owes an answer is not called silent before this.
+/// A server that owes an answer counts as unresponsive only after at least this
+/// long.
 const MIN_SILENCE: Duration = Duration::from_millis(200);
-/// The others must fail at most this often, relative to the suspect.
+/// Largest mean failure rate of the other servers, relative to the failure rate of
+/// the suspected server, at which the others count as clearly better.
 const CLEARLY_BETTER: f64 = 0.5;
 
-/// The servers of one side, as far as they are routable.
+/// The routable servers of one side of a service.
 pub struct SideServers<'a> {
-    /// Each with what was seen of it.
+    /// Node and record of each routable server of the side.
     pub servers: Vec<(NodeId, &'a ServerRecord)>,
-    /// The servers of the other side, if it may take over.
+    /// Routable servers of the other side, if that side may take over; empty
+    /// otherwise.
     pub stand_ins: Vec<(NodeId, &'a ServerRecord)>,
-    /// Time that almost every answer of the service takes.
+    /// Latency that almost every answer of the service stays under.
     pub usual_latency: Duration,
 }
 
 impl SideServers<'_> {
-    /// The servers to eject now.
+    /// The servers of the side to eject now.
     pub fn outliers(&self, now: Timestamp) -> Vec<NodeId> {
         let mut in_use = self.count_in_use();
         let mut outliers = Vec::new();
@@ -52,7 +55,7 @@
             .count()
     }
 
-    /// Servers that stay in use whatever the evidence.
+    /// Number of the side's servers that stay in use for this kind of evidence.
     fn floor(&self, evidence: Evidence) -> usize {
         match evidence {
             Evidence::Errors => self.servers.len().div_ceil(2),
--- a/crates/coordination/src/outbound/routing.rs
+++ b/crates/coordination/src/outbound/routing.rs
@@ -1,10 +1,12 @@
-//! The product's outbound decisions: calls, their attempts and their answers.
+//! The product's outbound policy: decides on calls, their attempts and their
+//! answers.
 //!
 //! A call is refused at once if its deadline has passed or the service's
 //! servers are known to refuse its priority. Otherwise it goes to the server
 //! that its [`Edge`] chooses. When the attempt fails or takes unusually long,
 //! the retry decision, the choice of another server and the edge's budget are
-//! asked in this order; the first no is the caller's final answer, at once.
+//! asked in this order. The first that denies a retry ends the call, and the caller
+//! is answered at once.
 
 mod final_answer;
 
@@ -26,12 +28,13 @@
 use crate::View;
 use crate::refusal::{GivenUp, RetryAfter};
 
-/// How often failing servers are looked for.
+/// How often the servers of all edges are checked for outliers to eject.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
-/// Separates the random choices of servers from the spread of refusals.
+/// Mixed into the node's seed, so that the random choice of servers and the random
+/// spread of `retry_after` times are independent.
 const REFUSAL_SEED: u64 = 0x5e1f;
 
-/// Routes calls to servers.
+/// Outbound policy that routes calls to servers and retries failed attempts.
 #[derive(Debug)]
 pub struct Routing {
     zone: Zone,
@@ -44,7 +47,7 @@
 }
 
 impl Routing {
-    /// Routing for a node in `zone`.
+    /// Creates the policy of a node in `zone`; `seed` determines its random choices.
     pub fn new(zone: Zone, seed: u64) -> Self {
         Routing {
             zone,
@@ -77,7 +80,7 @@
         }
     }
 
-    /// Why the call is refused without looking for a server.
+    /// Why the call is refused without looking for a server, if it is.
     fn refusal(&self, now: Timestamp, view: &View, call: &Call) -> Option<RefusalReason> {
         let context = &call.context;
         if view.table.any_row(&call.service).is_none() {
@@ -91,8 +94,8 @@
         }
     }
 
-    /// Whether some server is thought to admit the call, and no more important
-    /// one was refused just now.
+    /// Whether the service's servers admit the call's priority as far as this node
+    /// knows, and no call of a more important class was refused just before.
     fn admits(&self, now: Timestamp, view: &View, call: &Call) -> bool {
         let priority = call.context.priority;
         self.edges.get(&call.service).is_none_or(|edge| {
@@ -124,8 +127,9 @@
         edge.choose(now, view, &wanted, &mut self.random)
     }
 
-    /// The server for a retry if the current attempt ends in `failure`; paid
-    /// for by the edge's budget. None if the call is not to be retried.
+    /// Chooses the server for a retry if the current attempt ends in `failure`,
+    /// and charges the retry to the edge's budget. None if the call is not to be
+    /// retried.
     fn choose_retry(
         &mut self,
         now: Timestamp,
@@ -238,7 +242,7 @@
         self.give_up(now, view, id, given_up, effects);
     }
 
-    /// Takes in what an answer says about its server.
+    /// Records what an answer reveals about the server that sent it.
     fn learn(&mut self, now: Timestamp, id: CallId, attempt: AttemptId, answer: &AttemptAnswer) {
         let Some(state) = self.calls.get(id) else {
             return;
@@ -255,7 +259,7 @@
         }
     }
 
-    /// Gives the current attempt up: its server must drop or cancel it.
+    /// Gives up the current attempt; its server must drop or cancel it.
     fn abandon_attempt(
         &mut self,
         now: Timestamp,
@@ -291,9 +295,9 @@
         }
     }
 
-    /// An attempt takes unusually long, or the call's deadline has come. A slow
-    /// attempt is replaced if the call may be repeated and another server can
-    /// take it; otherwise the call goes on waiting for it.
+    /// Handles the timer of a call: its attempt takes unusually long, or its
+    /// deadline has come. A slow attempt is replaced if the call may be repeated
+    /// and another server can take it; otherwise the call keeps waiting for it.
     fn timed_out(
         &mut self,
         now: Timestamp,
--- a/crates/coordination/src/outbound/routing/final_answer.rs
+++ b/crates/coordination/src/outbound/routing/final_answer.rs
@@ -1,5 +1,5 @@
-//! The end of a call: its one answer to the caller, in the moment that it is
-//! known, and the end of the answer's body.
+//! The end of a call: its single answer to the caller, given as soon as it is
+//! known, and the end of that answer's body.
 
 use lifthollow_state::{RetryAllowance, Timestamp};
 
@@ -42,7 +42,8 @@
         });
     }
 
-    /// The final answer of a call that no attempt will complete.
+    /// Answers the caller of a call that no attempt will complete, and removes the
+    /// call.
     pub(super) fn give_up(
         &mut self,
         now: Timestamp,
@@ -70,7 +71,8 @@
         });
     }
 
-    /// The last byte of a delivered answer has passed.
+    /// Removes the call of an attempt whose delivered answer was passed on to its
+    /// last byte or broke off.
     pub(super) fn closed(&mut self, attempt: AttemptId) {
         let Some(id) = self.calls.call_of(attempt) else {
             return;
@@ -87,6 +89,7 @@
         }
     }
 
+    /// Gives up the current attempt of a cancelled call and removes the call.
     pub(super) fn cancel(&mut self, now: Timestamp, id: CallId, effects: &mut Vec<OutboundEffect>) {
         self.abandon_attempt(now, id, Outcome::GivenUp, effects);
         self.calls.remove(id);
--- a/crates/coordination/src/outbound/server_choice.rs
+++ b/crates/coordination/src/outbound/server_choice.rs
@@ -1,8 +1,8 @@
-//! Which server of a side gets an attempt.
+//! Choice of the server that gets an attempt, among those of one side.
 //!
-//! Two candidates are drawn at random and the cheaper one is taken, by latency,
-//! calls outstanding and failures. Servers of the caller's own zone are
-//! preferred as long as they have room.
+//! Two candidates are drawn at random and the one with the lower cost is chosen;
+//! the cost is computed from latency, utilization and failures. Servers of the
+//! caller's own zone are preferred while they have spare capacity.
 
 use std::time::Duration;
 
@@ -11,34 +11,35 @@
 
 use super::server_state::ServerRecord;
 
-/// The own zone is preferred below this utilization.
+/// A server of the caller's own zone is preferred below this utilization, in calls
+/// per call allowed in flight.
 const NEAR_ZONE_UTILIZATION: f64 = 0.6;
 
-/// A server that could get the attempt.
+/// A server that the attempt could be sent to.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// Its node.
+    /// The server's node.
     pub node: NodeId,
-    /// Its failure domain.
+    /// The server's failure domain.
     pub zone: Zone,
-    /// What was seen of it.
+    /// What this node has observed of the server.
     pub record: &'a ServerRecord,
 }
 
-/// What the choice depends on besides the candidates.
+/// Inputs of the choice besides the candidates.
 #[derive(Clone, Copy, Debug)]
 pub struct ChoiceContext {
-    /// The time.
+    /// The current time.
     pub now: Timestamp,
-    /// The caller's zone.
+    /// The failure domain of the calling node.
     pub zone: Zone,
-    /// The table's ceiling of calls in flight on each server.
+    /// The table's limit of calls in flight on each server.
     pub limit: u32,
-    /// Latency assumed of servers that none was seen of.
+    /// Latency assumed for servers without a latency sample.
     pub typical_latency: Duration,
 }
 
-/// The server to use; none if there is no candidate.
+/// Chooses the server to use; none if there is no candidate.
 pub fn choose_server(
     candidates: &[Candidate<'_>],
     context: ChoiceContext,
--- a/crates/coordination/src/outbound/server_state.rs
+++ b/crates/coordination/src/outbound/server_state.rs
@@ -1,4 +1,4 @@
-//! What a node has seen of one server of one service.
+//! What a node has observed of one server of one service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,31 +10,35 @@
 use super::ejection::Ejection;
 use crate::latency::LatencyEstimate;
 
-/// A report older than this is no longer believed.
+/// A load report older than this is ignored.
 const REPORT_LIFETIME: Duration = Duration::from_secs(1);
-/// A server unknown before gets its full share after this long.
+/// A new server, or one back from ejection, gets its full share of calls after
+/// this long.
 const SLOW_START: Duration = Duration::from_secs(2);
-/// Its share at the start.
+/// Share of calls that a server gets at the start of its slow start, relative to
+/// its full share.
 const SLOW_START_SHARE: f64 = 0.1;
 
-/// How an attempt ended, as far as it tells something about the server.
+/// How an attempt ended, classified by what it reveals about the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It answered well.
+    /// The server answered without an error.
     Succeeded,
-    /// It refused in good order; that is load, not failure.
+    /// The server's node refused the attempt with a proper answer, which means
+    /// load and not failure.
     Refused,
-    /// It answered with an error.
+    /// The server answered with an error, or its back end refused or lost the
+    /// attempt.
     Failed,
-    /// It did not answer, or could not be reached.
+    /// The server did not answer or could not be reached.
     Unreachable,
-    /// It took unusually long and was given up.
+    /// The attempt took unusually long and was given up.
     TimedOut,
-    /// The attempt was given up for a reason of the caller's.
+    /// The attempt was given up because the caller cancelled the call.
     GivenUp,
 }
 
-/// One server as its callers' node sees it.
+/// Record of one server, as observed by the calling node.
 #[derive(Clone, Debug)]
 pub struct ServerRecord {
     first_seen: Timestamp,
@@ -44,15 +48,15 @@
     reported_at: Option<Timestamp>,
     outstanding_at_report: u32,
     latency: LatencyEstimate,
-    /// Since when the server has owed answers without giving any.
+    /// Since when the server has owed answers without giving any, if it does.
     unanswered_since: Option<Timestamp>,
     last_given_up: Timestamp,
-    /// Whether the server is left out because it fails.
+    /// Whether the server is ejected because it fails.
     pub ejection: Ejection,
 }
 
 impl ServerRecord {
-    /// A server seen for the first time.
+    /// Creates the record of a server seen for the first time.
     pub fn new(now: Timestamp) -> Self {
         ServerRecord {
             first_seen: now,
@@ -68,13 +72,14 @@
         }
     }
 
-    /// An attempt was sent to the server.
+    /// Records that an attempt was sent to the server.
     pub fn dispatched(&mut self, now: Timestamp, attempt: AttemptId) {
         self.outstanding.insert(attempt, now);
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// An attempt ended; returns how long it took.
+    /// Records the end of an attempt and returns how long it took; none if the
+    /// attempt is not outstanding.
     pub fn ended(
         &mut self,
         now: Timestamp,
@@ -102,24 +107,25 @@
         self.unanswered_since = (!self.outstanding.is_empty()).then_some(now);
     }
 
-    /// The answer's body is being passed on: the server is still at work.
+    /// Records that an answer's body is being passed on, during which the server is
+    /// still busy with the attempt.
     pub fn streams(&mut self, attempt: AttemptId) {
         self.streaming.insert(attempt);
     }
 
-    /// The last byte of an answer has passed.
+    /// Records that the last byte of an answer was passed on.
     pub fn closed(&mut self, attempt: AttemptId) {
         self.streaming.remove(&attempt);
     }
 
-    /// The server reported its load.
+    /// Records a load report of the server.
     pub fn reported(&mut self, now: Timestamp, report: LoadReport) {
         self.report = report;
         self.reported_at = Some(now);
         self.outstanding_at_report = self.own_calls();
     }
 
-    /// Whether nothing of this node's is in progress there.
+    /// Whether this node has no call in progress on the server.
     pub fn is_idle(&self) -> bool {
         self.own_calls() == 0
     }
@@ -128,14 +134,16 @@
         (self.outstanding.len() + self.streaming.len()) as u32
     }
 
-    /// The process was paused: silence during the pause proves nothing.
+    /// Resets the time without an answer and drops the load report after the
+    /// process was paused: that no answer was seen during the pause says nothing
+    /// about the server.
     pub fn resumed(&mut self, now: Timestamp) {
         self.heard_of(now);
         self.reported_at = None;
     }
 
-    /// How long the server has owed answers without giving any, up to now or
-    /// to the moment the last of them was given up.
+    /// How long the server has owed answers without giving any, until now or
+    /// until the last outstanding attempt was given up.
     pub fn silence(&self, now: Timestamp) -> Duration {
         let Some(since) = self.unanswered_since else {
             return Duration::ZERO;
@@ -148,19 +156,22 @@
         until.saturating_since(since)
     }
 
-    /// The lowest priority that the server admits, if it said so lately.
+    /// The lowest priority that the server admits, if its last load report is
+    /// fresh.
     pub fn level(&self, now: Timestamp) -> Option<AdmissionLevel> {
         let report = self.fresh_report(now)?;
         Some(report.admission_level)
     }
 
-    /// Whether the server said lately that it takes no new work.
+    /// Whether the server's last load report is fresh and says that it takes no
+    /// new work.
     pub fn is_leaving(&self, now: Timestamp) -> bool {
         self.fresh_report(now).is_some_and(|report| report.leaving)
     }
 
-    /// Calls at the server for each call it may run at once: this node's own
-    /// and, while the last report is fresh, those of others.
+    /// Calls in progress on the server, divided by the number it may run at once.
+    /// They include this node's own calls and, while the last report is fresh,
+    /// those of other nodes.
     pub fn utilization(&self, now: Timestamp, default_limit: u32) -> f64 {
         let own = self.own_calls();
         let (others, limit) = match self.fresh_report(now) {
@@ -174,7 +185,8 @@
         f64::from(own + others) / f64::from(limit.max(1))
     }
 
-    /// Relative cost of sending one more call: time, load and failures.
+    /// Relative cost of sending one more call to the server, computed from its
+    /// latency, utilization and failure rate; compared between servers only.
     pub fn cost(&self, now: Timestamp, default_limit: u32, typical_latency: Duration) -> f64 {
         let latency = if self.latency.is_known() {
             self.latency.mean_at(now)
@@ -187,14 +199,16 @@
         (latency.as_secs_f64() + f64::EPSILON) * load / share
     }
 
-    /// From [`SLOW_START_SHARE`] to 1 while the server is new or just back.
+    /// Share of calls that the server gets, relative to its full share: rises from
+    /// [`SLOW_START_SHARE`] to 1 while the server is new or just back from
+    /// ejection.
     fn slow_start_share(&self, now: Timestamp) -> f64 {
         let since = self.first_seen.max(self.ejection.returned_at());
         let age = now.saturating_since(since).as_secs_f64();
         (age / SLOW_START.as_secs_f64()).clamp(SLOW_START_SHARE, 1.0)
     }
 
-    /// Whether the server is still being warmed up.
+    /// Whether the server is in slow start and gets less than its full share.
     pub fn is_starting(&self, now: Timestamp) -> bool {
         self.slow_start_share(now) < 1.0
     }
--- a/crates/coordination/src/outbound/side_choice.rs
+++ b/crates/coordination/src/outbound/side_choice.rs
@@ -1,13 +1,14 @@
-//! Which side gets the next call, by the table's weights.
+//! Choice of the side for the next call, by the table's weights.
 //!
-//! Smooth weighted round robin: after any number of calls each side has had its
-//! share to within one call, and the sides alternate as evenly as the weights
-//! allow. The credits outlive a change of the weights, so that nudging a weight
-//! causes no burst.
+//! This is a smooth weighted round robin: after any number of calls each side has
+//! received its share to within one call, and the sides alternate as evenly as the
+//! weights allow. The credits are kept when the weights change, so that a small
+//! change of a weight causes no burst to one side.
 
 use lifthollow_state::Side;
 
-/// Weights of the two sides.
+/// Weights of the two sides of a service; a side's share of the calls is its weight
+/// divided by their sum.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SideWeights {
     /// Weight of the old side.
@@ -31,22 +32,23 @@
     }
 }
 
-/// Chooses sides for the calls to one service.
+/// Chooses the side of each call to one service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SideChoice {
-    /// Calls that the old side is owed, as a fraction of a call. The new side
-    /// is owed the negative.
+    /// Credit of the old side, in calls; the credit of the new side is its
+    /// negative.
     owed_to_old: f64,
 }
 
 impl SideChoice {
-    /// A choice that starts `phase` of a call ahead of the old side, from -0.5
-    /// to 0.5, so that nodes started together do not all begin with one side.
+    /// Creates a choice whose old side starts with a credit of `phase` calls, from
+    /// -0.5 to 0.5, so that nodes started together do not all begin with the same
+    /// side.
     pub fn with_phase(phase: f64) -> Self {
         SideChoice { owed_to_old: phase }
     }
 
-    /// The side for the next call; none if no side has a weight.
+    /// Chooses the side for the next call; none if both weights are 0.
     pub fn next(&mut self, weights: SideWeights) -> Option<Side> {
         if weights.total() == 0 {
             return None;
--- a/crates/coordination/tests/routing.rs
+++ b/crates/coordination/tests/routing.rs
@@ -1,5 +1,5 @@
-//! Choice of servers, retries and final answers, under the failure each
-//! decision is meant for.
+//! Tests of the choice of servers, retries and final answers, each under the kind
+//! of failure that the decision handles.
 
 mod support;
 
@@ -14,8 +14,9 @@
 
 const OPEN: AdmissionLevel = AdmissionLevel::OPEN;
 
-/// Calls every 5 ms, answered by all servers but those in `silent`, which
-/// accept and never answer; returns how many calls each server got lately.
+/// Makes `calls` calls, one every 5 ms beginning at `from` milliseconds. All
+/// servers answer but those in `silent`, which accept calls and never answer.
+/// Returns the server that each call was sent to.
 fn run_with_silent(
     driver: &mut OutboundDriver,
     silent: &[NodeId],
@@ -50,7 +51,7 @@
     let to_gray = used.iter().filter(|server| **server == gray).count();
     assert!(
         to_gray <= 2,
-        "{to_gray} of 100 calls went to the silent server"
+        "{to_gray} of 100 calls went to the server that does not answer"
     );
 }
 
@@ -65,7 +66,10 @@
         .iter()
         .filter(|server| new_side.contains(server))
         .count();
-    assert!(lost <= 6, "{lost} of 200 calls went to the silent side");
+    assert!(
+        lost <= 6,
+        "{lost} of 200 calls went to the side that does not answer"
+    );
 }
 
 #[test]
@@ -96,7 +100,8 @@
         driver.event(now, OutboundEvent::Wake);
         let deadline = now + Duration::from_secs(1);
         let effects = driver.call(now, context(PriorityClass::Normal, 64, deadline), false);
-        let attempt = sent(&effects).expect("no server is left out");
+        let attempt =
+            sent(&effects).expect("the call was not sent although no server may be ejected");
         if number >= 150 {
             used.insert(attempt.server);
         }
@@ -115,7 +120,7 @@
         refused(RefusalReason::QueueFull),
         None,
     );
-    let second = sent(&effects).expect("known not to have run");
+    let second = sent(&effects).expect("a refused attempt, known not to have run, was not retried");
     assert_ne!(second.server, first.server);
 
     let effects = driver.call(at(2), context(PriorityClass::Critical, 0, at(1000)), false);
@@ -124,7 +129,10 @@
         reason: RefusalReason::AnswerLost,
     };
     let effects = driver.answer(at(3), charge.attempt, lost, None);
-    assert!(sent(&effects).is_none(), "it may have run");
+    assert!(
+        sent(&effects).is_none(),
+        "a call that is not repeatable and may have run was retried"
+    );
     assert!(matches!(
         answered(&effects),
         Some(CallAnswer::Unknown { .. })
@@ -139,7 +147,7 @@
         reason: RefusalReason::AnswerLost,
     };
     let effects = driver.answer(at(1), first.attempt, lost, None);
-    let second = sent(&effects).expect("it is repeatable");
+    let second = sent(&effects).expect("a repeatable call whose answer was lost was not retried");
     let effects = driver.answer(
         at(2),
         second.attempt,
@@ -166,7 +174,7 @@
             let Some(retry) = sent(&effects) else {
                 assert!(
                     answered(&effects).is_some(),
-                    "the final answer comes at once"
+                    "a call without a further retry was not answered at once"
                 );
                 break;
             };
@@ -202,7 +210,7 @@
     let later = context(PriorityClass::Normal, 127, at(9000));
     assert!(
         sent(&driver.call(at(2000), later, true)).is_some(),
-        "old news"
+        "an expired load report still caused a refusal"
     );
 }
 
@@ -213,7 +221,7 @@
     for _ in 0..100 {
         let effects = driver.call(at(0), context(PriorityClass::Normal, 64, at(1000)), true);
         let Some(CallAnswer::NotRun { retry_after, .. }) = answered(&effects) else {
-            panic!("there is no server");
+            panic!("the call was not answered as not run although there is no server");
         };
         times.insert(retry_after);
     }
@@ -240,7 +248,7 @@
                 break;
             }
         }
-        // At least one of two calls is given to the side that refuses.
+        // The weights assign at least one of two calls to the side that refuses.
         for _ in 0..2 {
             let normal = context(PriorityClass::Normal, 64, at(1000));
             let effects = driver.call(at(30), normal, true);
@@ -248,7 +256,11 @@
         }
         let report = &driver.policy.reports(at(30), &driver.view)[0];
         let spilled: u64 = report.sides.iter().map(|side| side.counts.spilled).sum();
-        assert_eq!(spilled > 0, spills, "operators are told");
+        assert_eq!(
+            spilled > 0,
+            spills,
+            "the report counts {spilled} spilled calls"
+        );
     }
 }
 
@@ -259,7 +271,10 @@
     let mut due = at(0);
     let mut effects = Vec::new();
     while effects.is_empty() {
-        due = driver.policy.next_wake().expect("the call is watched");
+        due = driver
+            .policy
+            .next_wake()
+            .expect("a call in progress has no timer");
         effects = driver.event(due, OutboundEvent::Wake);
     }
     assert_eq!(due, at(1000));
--- a/crates/coordination/tests/side_weights.rs
+++ b/crates/coordination/tests/side_weights.rs
@@ -1,10 +1,11 @@
-//! The table's weights are kept exactly, also while they are nudged.
+//! Tests that the calls are divided between the sides by the table's weights, also
+//! while the weights change in small steps.
 
 use lifthollow_coordination::outbound::side_choice::{SideChoice, SideWeights};
 use lifthollow_state::Side;
 use quickcheck::{TestResult, quickcheck};
 
-/// Calls over which the weights must hold.
+/// Number of consecutive calls over which each side must receive its share.
 const WINDOW: usize = 200;
 
 fn choices(choice: &mut SideChoice, weights: SideWeights, calls: usize) -> Vec<Side> {
