--- a/crates/coordination/src/outbound/call_state.rs
+++ b/crates/coordination/src/outbound/call_state.rs
@@ -40,7 +40,7 @@
     };
 
     /// The failure that a server's answer reports.
-    pub fn told_by(answer: &AttemptAnswer) -> Self {
+    pub fn from_answer(answer: &AttemptAnswer) -> Self {
         Failure {
             may_have_run: !matches!(answer.result, AttemptResult::NotRun { .. }),
             unspent: answer.unspent,
@@ -58,7 +58,7 @@
     /// The attempt in progress, if there is one.
     pub current: Option<CurrentAttempt>,
     /// Servers to which an attempt of this call was sent and failed.
-    pub tried: Vec<NodeId>,
+    pub failed_servers: Vec<NodeId>,
     /// The side that the table's weights assigned the call to; none before the
     /// first attempt.
     pub side: Option<Side>,
@@ -77,7 +77,7 @@
             timer: call.context.deadline,
             call,
             current: None,
-            tried: Vec::new(),
+            failed_servers: Vec::new(),
             side: None,
             may_have_run: false,
         }
@@ -108,7 +108,7 @@
     pub fn end_attempt(&mut self, failure: Failure) {
         self.allowance = self.allowance_after(failure);
         self.may_have_run |= failure.may_have_run;
-        self.tried
+        self.failed_servers
             .extend(self.current.take().map(|attempt| attempt.server));
     }
 
@@ -120,9 +120,9 @@
     }
 
     /// The servers that the next attempt must not be sent to.
-    pub fn tried_with_current(&self) -> Vec<NodeId> {
+    pub fn failed_servers_with_current(&self) -> Vec<NodeId> {
         let current = self.current.map(|attempt| attempt.server);
-        self.tried.iter().copied().chain(current).collect()
+        self.failed_servers.iter().copied().chain(current).collect()
     }
 
     /// Whether the call could be sent again if the answer to its attempt were
@@ -132,12 +132,12 @@
     }
 
     /// The input of the retry decision if the current attempt ends in `failure`
-    /// and the next one is expected to take `likely_duration`.
+    /// and the next one is expected to take `expected_duration`.
     pub fn failed_attempt(
         &self,
         now: Timestamp,
         failure: Failure,
-        likely_duration: Duration,
+        expected_duration: Duration,
     ) -> FailedAttempt {
         FailedAttempt {
             known_not_run: !self.may_have_run && !failure.may_have_run,
@@ -145,7 +145,7 @@
             replayable: self.call.replayable,
             allowance_left: self.allowance_after(failure),
             deadline: self.call.context.deadline,
-            likely_answer: now + likely_duration,
+            expected_answer: now + expected_duration,
         }
     }
 }
--- a/crates/coordination/src/outbound/call_table.rs
+++ b/crates/coordination/src/outbound/call_table.rs
@@ -39,12 +39,12 @@
     }
 
     /// Records that an attempt of a call has begun.
-    pub fn link(&mut self, attempt: AttemptId, id: CallId) {
+    pub fn register_attempt(&mut self, attempt: AttemptId, id: CallId) {
         self.attempts.insert(attempt, id);
     }
 
     /// Removes an attempt that has ended; later events about it are ignored.
-    pub fn unlink(&mut self, attempt: AttemptId) {
+    pub fn remove_attempt(&mut self, attempt: AttemptId) {
         self.attempts.remove(&attempt);
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// Cancels a call's timer.
-    pub fn stop_timer(&mut self, id: CallId) {
+    pub fn cancel_timer(&mut self, id: CallId) {
         if let Some(state) = self.calls.get(&id) {
             self.timers.remove(&(state.timer, id));
         }
--- a/crates/coordination/src/outbound/edge.rs
+++ b/crates/coordination/src/outbound/edge.rs
@@ -29,7 +29,7 @@
 
 /// Requirements of a call on the server chosen for it.
 #[derive(Clone, Debug)]
-pub struct Wanted<'a> {
+pub struct ServerRequirements<'a> {
     /// The call's priority, which decides the order in which load is shed.
     pub priority: Priority,
     /// Servers that earlier attempts of the call were sent to.
@@ -38,14 +38,14 @@
     pub side: Option<Side>,
     /// Whether a half-open server may be chosen: the call can be sent again if
     /// that server fails it.
-    pub may_try: bool,
+    pub may_use_half_open: bool,
     /// Whether the server must have spare capacity, as far as this node knows.
-    pub needs_room: bool,
+    pub needs_capacity: bool,
 }
 
 /// The server chosen for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Chosen {
+pub struct ChosenServer {
     /// The node that the attempt is sent to.
     pub server: NodeId,
     /// The side that the table's weights assigned the call to.
@@ -95,7 +95,7 @@
 
     /// Records the outcome of an attempt and the server's load, if it was
     /// reported.
-    pub fn learn(
+    pub fn record_outcome(
         &mut self,
         now: Timestamp,
         server: NodeId,
@@ -104,9 +104,9 @@
         load: Option<LoadReport>,
     ) {
         let record = self.server_mut(now, server);
-        let elapsed = record.ended(now, attempt, outcome);
+        let elapsed = record.record_end(now, attempt, outcome);
         if let Some(load) = load {
-            record.reported(now, load);
+            record.record_report(now, load);
         }
         if let (Some(elapsed), Outcome::Succeeded) = (elapsed, outcome) {
             self.latency.observe(now, elapsed);
@@ -114,17 +114,17 @@
     }
 
     /// Records that the body of a server's answer is being passed on.
-    pub fn streams(&mut self, server: NodeId, attempt: AttemptId) {
+    pub fn record_stream_started(&mut self, server: NodeId, attempt: AttemptId) {
         if let Some(record) = self.servers.get_mut(&server) {
-            record.streams(attempt);
+            record.record_stream_started(attempt);
         }
     }
 
     /// Records that the last byte of an answer has been passed on, or that the
     /// attempt was given up.
-    pub fn closed(&mut self, server: NodeId, attempt: AttemptId) {
+    pub fn record_stream_closed(&mut self, server: NodeId, attempt: AttemptId) {
         if let Some(record) = self.servers.get_mut(&server) {
-            record.closed(attempt);
+            record.record_stream_closed(attempt);
         }
     }
 
@@ -139,9 +139,9 @@
     }
 
     /// Resets time-based records after the process was paused.
-    pub fn resumed(&mut self, now: Timestamp) {
+    pub fn handle_resume(&mut self, now: Timestamp) {
         for server in self.servers.values_mut() {
-            server.resumed(now);
+            server.handle_resume(now);
         }
     }
 
@@ -180,7 +180,7 @@
     /// Ejects servers that fail while others do better.
     pub fn eject_outliers(&mut self, now: Timestamp, view: &View) {
         for server in self.servers.values_mut() {
-            server.ejection.refresh(now);
+            server.ejection.expire_ejection(now);
         }
         for side in Side::ALL {
             for node in self.outliers(now, view, side) {
@@ -197,15 +197,15 @@
                 .collect()
         };
         let other = side.other();
-        let takes_over = self.weights(view).of(other) > 0;
+        let other_may_take_over = self.weights(view).of(other) > 0;
         let servers = SideServers {
             servers: records(side),
-            stand_ins: if takes_over {
+            other_side: if other_may_take_over {
                 records(other)
             } else {
                 Vec::new()
             },
-            usual_latency: self.latency.high(),
+            high_latency: self.latency.high(),
         };
         servers.outliers(now)
     }
@@ -219,7 +219,7 @@
         });
     }
 
-    fn learn_servers(&mut self, now: Timestamp, view: &View) {
+    fn add_listed_servers(&mut self, now: Timestamp, view: &View) {
         for server in view.directory.servers(&self.service) {
             self.server_mut(now, server.node);
         }
@@ -255,7 +255,7 @@
     }
 
     /// Counts an attempt that is being sent to the chosen server.
-    pub fn count(&mut self, chosen: Chosen, is_retry: bool) {
+    pub fn count_attempt(&mut self, chosen: ChosenServer, is_retry: bool) {
         let counts = self.counts.entry(chosen.side).or_default();
         if is_retry {
             counts.retries += 1;
--- a/crates/coordination/src/outbound/edge/choice.rs
+++ b/crates/coordination/src/outbound/edge/choice.rs
@@ -8,7 +8,7 @@
 use lifthollow_state::{NodeId, Side, Timestamp};
 use rand::Rng;
 
-use super::{Chosen, Edge, Wanted};
+use super::{ChosenServer, Edge, ServerRequirements};
 use crate::View;
 use crate::outbound::server_choice::{Candidate, ChoiceContext, choose_server};
 
@@ -17,16 +17,16 @@
 const SPILL_UTILIZATION: f64 = 0.8;
 /// A server counts as responsive for at least this long after it began to owe an
 /// answer.
-const MIN_HEARD_WITHIN: Duration = Duration::from_millis(50);
+const MIN_RESPONSIVE_TIME: Duration = Duration::from_millis(50);
 /// Utilization at which a server has no spare capacity.
-const FULL: f64 = 1.0;
+const FULL_UTILIZATION: f64 = 1.0;
 
 /// Condition that a server must meet to be chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trust {
+enum Eligibility {
     /// The server is in use or half-open and has not owed an answer for longer
     /// than the mean latency.
-    HeardOf,
+    Responsive,
     /// The server is in use or half-open.
     InUse,
 }
@@ -40,56 +40,58 @@
         &mut self,
         now: Timestamp,
         view: &View,
-        wanted: &Wanted<'_>,
+        requirements: &ServerRequirements<'_>,
         random: &mut impl Rng,
-    ) -> Result<Chosen, RefusalReason> {
-        self.learn_servers(now, view);
-        let next = wanted
+    ) -> Result<ChosenServer, RefusalReason> {
+        self.add_listed_servers(now, view);
+        let next = requirements
             .side
             .or_else(|| self.side_choice.next(self.weights(view)));
         let side = next.ok_or(RefusalReason::NoServer)?;
-        let levels: &[Trust] = if wanted.may_try {
-            &[Trust::InUse]
+        let levels: &[Eligibility] = if requirements.may_use_half_open {
+            &[Eligibility::InUse]
         } else {
-            &[Trust::HeardOf, Trust::InUse]
+            &[Eligibility::Responsive, Eligibility::InUse]
         };
         levels
             .iter()
-            .find_map(|trust| self.choose_trusted(now, view, side, *trust, wanted, random))
-            .or_else(|| self.choose_any(now, view, side, wanted, random))
-            .ok_or_else(|| self.refusal(view, side))
+            .find_map(|level| self.choose_eligible(now, view, side, *level, requirements, random))
+            .or_else(|| self.choose_any_routable(now, view, side, requirements, random))
+            .ok_or_else(|| self.refusal_reason(view, side))
     }
 
     /// Chooses an eligible server of the side, or of the other side if that one
     /// may take over.
-    fn choose_trusted(
+    fn choose_eligible(
         &self,
         now: Timestamp,
         view: &View,
         side: Side,
-        trust: Trust,
-        wanted: &Wanted<'_>,
+        eligibility: Eligibility,
+        requirements: &ServerRequirements<'_>,
         random: &mut impl Rng,
-    ) -> Option<Chosen> {
-        let own = self.trusted(now, view, side, trust);
-        if self.side_level(now, view, side).admits(wanted.priority)
-            && let Some(server) = self.choose_among(now, view, side, &own, wanted, random)
+    ) -> Option<ChosenServer> {
+        let own = self.eligible(now, view, side, eligibility);
+        if self
+            .side_level(now, view, side)
+            .admits(requirements.priority)
+            && let Some(server) = self.choose_among(now, view, side, &own, requirements, random)
         {
             let spilled = false;
-            return Some(Chosen {
+            return Some(ChosenServer {
                 server,
                 side,
                 spilled,
             });
         }
         let other = side.other();
-        if !self.may_take_over(now, view, other, !own.iter().any(is_in_use), wanted) {
+        if !self.may_take_over(now, view, other, !own.iter().any(is_in_use), requirements) {
             return None;
         }
-        let others = self.trusted(now, view, other, trust);
-        let server = self.choose_among(now, view, other, &others, wanted, random)?;
+        let others = self.eligible(now, view, other, eligibility);
+        let server = self.choose_among(now, view, other, &others, requirements, random)?;
         let spilled = true;
-        Some(Chosen {
+        Some(ChosenServer {
             server,
             side,
             spilled,
@@ -104,41 +106,43 @@
         now: Timestamp,
         view: &View,
         side: Side,
-        other_is_lost: bool,
-        wanted: &Wanted<'_>,
+        other_is_unreachable: bool,
+        requirements: &ServerRequirements<'_>,
     ) -> bool {
         self.weights(view).of(side) > 0
-            && self.side_level(now, view, side).admits(wanted.priority)
-            && (other_is_lost || self.utilization(now, view, side) <= SPILL_UTILIZATION)
+            && self
+                .side_level(now, view, side)
+                .admits(requirements.priority)
+            && (other_is_unreachable || self.utilization(now, view, side) <= SPILL_UTILIZATION)
     }
 
     /// Chooses among all routable servers of the side, ejected ones included, if
     /// no server of either side is in use: an ejected server is better than none.
-    fn choose_any(
+    fn choose_any_routable(
         &self,
         now: Timestamp,
         view: &View,
         side: Side,
-        wanted: &Wanted<'_>,
+        requirements: &ServerRequirements<'_>,
         random: &mut impl Rng,
-    ) -> Option<Chosen> {
-        let lost = Side::ALL
+    ) -> Option<ChosenServer> {
+        let all_unreachable = Side::ALL
             .into_iter()
             .all(|side| !self.is_reachable(now, view, side));
-        if !lost {
+        if !all_unreachable {
             return None;
         }
         let candidates = self.routable(now, view, side);
-        let server = self.choose_among(now, view, side, &candidates, wanted, random)?;
+        let server = self.choose_among(now, view, side, &candidates, requirements, random)?;
         let spilled = false;
-        Some(Chosen {
+        Some(ChosenServer {
             server,
             side,
             spilled,
         })
     }
 
-    fn refusal(&self, view: &View, side: Side) -> RefusalReason {
+    fn refusal_reason(&self, view: &View, side: Side) -> RefusalReason {
         if self.is_empty(view, side) {
             RefusalReason::NoServer
         } else {
@@ -146,17 +150,23 @@
         }
     }
 
-    /// The servers of a side that are in use or half-open and meet `trust`.
-    fn trusted(&self, now: Timestamp, view: &View, side: Side, trust: Trust) -> Vec<Candidate<'_>> {
-        let usual = self.latency.mean().max(MIN_HEARD_WITHIN);
+    /// The servers of a side that are in use or half-open and meet `eligibility`.
+    fn eligible(
+        &self,
+        now: Timestamp,
+        view: &View,
+        side: Side,
+        eligibility: Eligibility,
+    ) -> Vec<Candidate<'_>> {
+        let usual = self.latency.mean().max(MIN_RESPONSIVE_TIME);
         self.routable(now, view, side)
             .into_iter()
-            .filter(|candidate| match trust {
-                Trust::HeardOf => candidate.record.silence(now) <= usual,
-                Trust::InUse => true,
+            .filter(|candidate| match eligibility {
+                Eligibility::Responsive => candidate.record.time_without_answer(now) <= usual,
+                Eligibility::InUse => true,
             })
             .filter(|candidate| {
-                candidate.record.ejection.is_in_use() || candidate.record.ejection.is_on_trial()
+                candidate.record.ejection.is_in_use() || candidate.record.ejection.is_half_open()
             })
             .collect()
     }
@@ -167,23 +177,24 @@
         view: &View,
         side: Side,
         servers: &[Candidate<'_>],
-        wanted: &Wanted<'_>,
+        requirements: &ServerRequirements<'_>,
         random: &mut impl Rng,
     ) -> Option<NodeId> {
         let limit = self.limit(view, side);
-        let has_room = |candidate: &Candidate<'_>| candidate.record.utilization(now, limit) < FULL;
-        let (on_trial, in_use): (Vec<Candidate<'_>>, Vec<Candidate<'_>>) = servers
+        let has_capacity =
+            |candidate: &Candidate<'_>| candidate.record.utilization(now, limit) < FULL_UTILIZATION;
+        let (half_open, in_use): (Vec<Candidate<'_>>, Vec<Candidate<'_>>) = servers
             .iter()
-            .filter(|candidate| !wanted.tried.contains(&candidate.node))
-            .filter(|candidate| !wanted.needs_room || has_room(candidate))
-            .partition(|candidate| candidate.record.ejection.is_on_trial());
+            .filter(|candidate| !requirements.tried.contains(&candidate.node))
+            .filter(|candidate| !requirements.needs_capacity || has_capacity(candidate))
+            .partition(|candidate| candidate.record.ejection.is_half_open());
         let context = ChoiceContext {
             now,
             zone: self.zone,
             limit,
             typical_latency: self.latency.mean(),
         };
-        server_to_try(now, &on_trial, wanted.may_try)
+        choose_half_open_server(now, &half_open, requirements.may_use_half_open)
             .or_else(|| choose_server(&in_use, context, random))
     }
 }
@@ -194,10 +205,14 @@
 
 /// A half-open server that this call may use: it has no call in progress, and
 /// the call can be sent again or the server has waited too long for such a call.
-fn server_to_try(now: Timestamp, on_trial: &[Candidate<'_>], may_try: bool) -> Option<NodeId> {
-    on_trial
+fn choose_half_open_server(
+    now: Timestamp,
+    half_open: &[Candidate<'_>],
+    may_use_half_open: bool,
+) -> Option<NodeId> {
+    half_open
         .iter()
         .filter(|candidate| candidate.record.is_idle())
-        .find(|candidate| may_try || candidate.record.ejection.trial_is_overdue(now))
+        .find(|candidate| may_use_half_open || candidate.record.ejection.trial_is_overdue(now))
         .map(|candidate| candidate.node)
 }
--- a/crates/coordination/src/outbound/ejection.rs
+++ b/crates/coordination/src/outbound/ejection.rs
@@ -10,23 +10,23 @@
 /// Weight of a new outcome in the moving average of the failure rate.
 const FAILURE_GAIN: f64 = 0.1;
 /// Number of consecutive failures that marks a server as failing.
-const FAILURES_IN_A_ROW: u32 = 5;
+const CONSECUTIVE_FAILURE_THRESHOLD: u32 = 5;
 /// Share of failed attempts that marks a server as failing.
-const FAILURE_RATE: f64 = 0.5;
+const FAILURE_RATE_THRESHOLD: f64 = 0.5;
 /// Number of attempts without contact, with no success in between, that marks a
 /// server as unreachable.
-const UNREACHABLE_IN_A_ROW: u32 = 2;
+const UNREACHABLE_THRESHOLD: u32 = 2;
 /// Duration of the first ejection; each further one lasts twice as long as the
 /// one before.
-const BASE_DURATION: Duration = Duration::from_millis(500);
+const BASE_EJECTION: Duration = Duration::from_millis(500);
 /// Longest duration of an ejection.
-const MAX_DURATION: Duration = Duration::from_secs(4);
+const MAX_EJECTION: Duration = Duration::from_secs(4);
 /// How long a half-open server waits for a call that can be sent again, before
 /// any call may be its trial attempt.
-const TRIAL_PATIENCE: Duration = Duration::from_secs(10);
+const MAX_TRIAL_WAIT: Duration = Duration::from_secs(10);
 /// After this long without a failure, a success resets the count of earlier
 /// ejections.
-const FORGIVEN_AFTER: Duration = Duration::from_secs(30);
+const EJECTIONS_RESET_AFTER: Duration = Duration::from_secs(30);
 
 /// Kind of evidence that a server fails, in order of increasing certainty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -34,7 +34,7 @@
     /// The server answers with errors, which may be its callers' fault.
     Errors,
     /// The server can't be reached or has stopped answering.
-    Silence,
+    Unresponsive,
 }
 
 /// Whether a server gets attempts.
@@ -47,7 +47,7 @@
     Ejected { until: Timestamp },
     /// The server has been open to one trial attempt at a time since the given
     /// time.
-    OnTrial { since: Timestamp },
+    HalfOpen { since: Timestamp },
 }
 
 /// Ejection state of one server.
@@ -55,45 +55,45 @@
 pub struct Ejection {
     status: Status,
     failure_rate: f64,
-    failures_in_a_row: u32,
-    unreachable_in_a_row: u32,
+    consecutive_failures: u32,
+    consecutive_unreachable: u32,
     ejections: u32,
     last_failure: Timestamp,
-    returned_at: Timestamp,
+    reinstated_at: Timestamp,
 }
 
 impl Ejection {
     /// Records the outcome of an attempt sent to the server.
-    pub fn record(&mut self, now: Timestamp, outcome: Outcome) {
+    pub fn record_outcome(&mut self, now: Timestamp, outcome: Outcome) {
         match outcome {
-            Outcome::Succeeded | Outcome::Refused => self.succeeded(now),
-            Outcome::Failed => self.failed(now, 0),
-            Outcome::Unreachable => self.failed(now, 1),
-            Outcome::TimedOut if self.is_on_trial() => self.eject(now),
+            Outcome::Succeeded | Outcome::Refused => self.record_success(now),
+            Outcome::Failed => self.record_failure(now, 0),
+            Outcome::Unreachable => self.record_failure(now, 1),
+            Outcome::TimedOut if self.is_half_open() => self.eject(now),
             Outcome::TimedOut | Outcome::GivenUp => {}
         }
     }
 
-    fn succeeded(&mut self, now: Timestamp) {
+    fn record_success(&mut self, now: Timestamp) {
         self.failure_rate -= self.failure_rate * FAILURE_GAIN;
-        self.failures_in_a_row = 0;
-        self.unreachable_in_a_row = 0;
-        if self.is_on_trial() {
+        self.consecutive_failures = 0;
+        self.consecutive_unreachable = 0;
+        if self.is_half_open() {
             self.status = Status::InUse;
             self.failure_rate = 0.0;
-            self.returned_at = now;
+            self.reinstated_at = now;
         }
-        if now.saturating_since(self.last_failure) > FORGIVEN_AFTER {
+        if now.saturating_since(self.last_failure) > EJECTIONS_RESET_AFTER {
             self.ejections = 0;
         }
     }
 
-    fn failed(&mut self, now: Timestamp, unreachable: u32) {
+    fn record_failure(&mut self, now: Timestamp, unreachable_increment: u32) {
         self.failure_rate += (1.0 - self.failure_rate) * FAILURE_GAIN;
-        self.failures_in_a_row += 1;
-        self.unreachable_in_a_row += unreachable;
+        self.consecutive_failures += 1;
+        self.consecutive_unreachable += unreachable_increment;
         self.last_failure = now;
-        if self.is_on_trial() {
+        if self.is_half_open() {
             self.eject(now);
         }
     }
@@ -102,9 +102,11 @@
     pub fn evidence(&self) -> Option<Evidence> {
         if self.status != Status::InUse {
             None
-        } else if self.unreachable_in_a_row >= UNREACHABLE_IN_A_ROW {
-            Some(Evidence::Silence)
-        } else if self.failures_in_a_row >= FAILURES_IN_A_ROW || self.failure_rate >= FAILURE_RATE {
+        } else if self.consecutive_unreachable >= UNREACHABLE_THRESHOLD {
+            Some(Evidence::Unresponsive)
+        } else if self.consecutive_failures >= CONSECUTIVE_FAILURE_THRESHOLD
+            || self.failure_rate >= FAILURE_RATE_THRESHOLD
+        {
             Some(Evidence::Errors)
         } else {
             None
@@ -113,22 +115,22 @@
 
     /// Ejects the server for a duration that doubles with each ejection.
     pub fn eject(&mut self, now: Timestamp) {
-        let doubled = BASE_DURATION * 2_u32.saturating_pow(self.ejections.min(8));
+        let doubled = BASE_EJECTION * 2_u32.saturating_pow(self.ejections.min(8));
         self.status = Status::Ejected {
-            until: now + doubled.min(MAX_DURATION),
+            until: now + doubled.min(MAX_EJECTION),
         };
         self.ejections += 1;
-        self.failures_in_a_row = 0;
-        self.unreachable_in_a_row = 0;
+        self.consecutive_failures = 0;
+        self.consecutive_unreachable = 0;
         self.last_failure = now;
     }
 
     /// Makes the server half-open once its ejection has expired.
-    pub fn refresh(&mut self, now: Timestamp) {
+    pub fn expire_ejection(&mut self, now: Timestamp) {
         if let Status::Ejected { until } = self.status
             && until <= now
         {
-            self.status = Status::OnTrial { since: until };
+            self.status = Status::HalfOpen { since: until };
         }
     }
 
@@ -139,15 +141,15 @@
 
     /// Whether the server is half-open, so that one trial attempt at a time may
     /// be sent to it.
-    pub fn is_on_trial(&self) -> bool {
-        matches!(self.status, Status::OnTrial { .. })
+    pub fn is_half_open(&self) -> bool {
+        matches!(self.status, Status::HalfOpen { .. })
     }
 
     /// Whether the server has been half-open for so long without a trial attempt
     /// by a call that can be sent again that any call may be the trial.
     pub fn trial_is_overdue(&self, now: Timestamp) -> bool {
         match self.status {
-            Status::OnTrial { since } => now.saturating_since(since) > TRIAL_PATIENCE,
+            Status::HalfOpen { since } => now.saturating_since(since) > MAX_TRIAL_WAIT,
             Status::InUse | Status::Ejected { .. } => false,
         }
     }
@@ -158,7 +160,7 @@
     }
 
     /// When the server last came back into use.
-    pub fn returned_at(&self) -> Timestamp {
-        self.returned_at
+    pub fn reinstated_at(&self) -> Timestamp {
+        self.reinstated_at
     }
 }
--- a/crates/coordination/src/outbound/outlier_detection.rs
+++ b/crates/coordination/src/outbound/outlier_detection.rs
@@ -15,10 +15,10 @@
 
 /// A server that owes an answer counts as unresponsive only after at least this
 /// long.
-const MIN_SILENCE: Duration = Duration::from_millis(200);
+const MIN_UNRESPONSIVE_TIME: Duration = Duration::from_millis(200);
 /// Largest mean failure rate of the other servers, relative to the failure rate of
 /// the suspected server, at which the others count as clearly better.
-const CLEARLY_BETTER: f64 = 0.5;
+const MAX_RELATIVE_FAILURE_RATE: f64 = 0.5;
 
 /// The routable servers of one side of a service.
 pub struct SideServers<'a> {
@@ -26,9 +26,9 @@
     pub servers: Vec<(NodeId, &'a ServerRecord)>,
     /// Routable servers of the other side, if that side may take over; empty
     /// otherwise.
-    pub stand_ins: Vec<(NodeId, &'a ServerRecord)>,
+    pub other_side: Vec<(NodeId, &'a ServerRecord)>,
     /// Latency that almost every answer of the service stays under.
-    pub usual_latency: Duration,
+    pub high_latency: Duration,
 }
 
 impl SideServers<'_> {
@@ -40,7 +40,7 @@
             let Some(evidence) = self.evidence(now, server) else {
                 continue;
             };
-            if in_use > self.floor(evidence) && self.others_do_better(now, *node, evidence) {
+            if in_use > self.min_in_use(evidence) && self.others_do_better(now, *node, evidence) {
                 outliers.push(*node);
                 in_use -= 1;
             }
@@ -56,22 +56,22 @@
     }
 
     /// Number of the side's servers that stay in use for this kind of evidence.
-    fn floor(&self, evidence: Evidence) -> usize {
+    fn min_in_use(&self, evidence: Evidence) -> usize {
         match evidence {
             Evidence::Errors => self.servers.len().div_ceil(2),
-            Evidence::Silence => 0,
+            Evidence::Unresponsive => 0,
         }
     }
 
     fn evidence(&self, now: Timestamp, server: &ServerRecord) -> Option<Evidence> {
-        if server.ejection.is_in_use() && self.is_silent(now, server) {
-            return Some(Evidence::Silence);
+        if server.ejection.is_in_use() && self.is_unresponsive(now, server) {
+            return Some(Evidence::Unresponsive);
         }
         server.ejection.evidence()
     }
 
-    fn is_silent(&self, now: Timestamp, server: &ServerRecord) -> bool {
-        server.silence(now) > MIN_SILENCE.max(self.usual_latency)
+    fn is_unresponsive(&self, now: Timestamp, server: &ServerRecord) -> bool {
+        server.time_without_answer(now) > MIN_UNRESPONSIVE_TIME.max(self.high_latency)
     }
 
     fn others_do_better(&self, now: Timestamp, suspect: NodeId, evidence: Evidence) -> bool {
@@ -82,24 +82,24 @@
             .map(|(_, server)| *server)
             .collect();
         match evidence {
-            Evidence::Silence => self.others_answer(now, &others),
-            Evidence::Errors => self.fail_less(suspect, &others),
+            Evidence::Unresponsive => self.others_answer(now, &others),
+            Evidence::Errors => self.others_fail_less(suspect, &others),
         }
     }
 
     fn others_answer(&self, now: Timestamp, others: &[&ServerRecord]) -> bool {
-        let stand_ins = self.stand_ins.iter().map(|(_, server)| *server);
+        let other_side = self.other_side.iter().map(|(_, server)| *server);
         others
             .iter()
             .copied()
-            .chain(stand_ins.filter(|server| server.ejection.is_in_use()))
+            .chain(other_side.filter(|server| server.ejection.is_in_use()))
             .any(|server| {
-                !self.is_silent(now, server)
-                    && server.ejection.evidence() != Some(Evidence::Silence)
+                !self.is_unresponsive(now, server)
+                    && server.ejection.evidence() != Some(Evidence::Unresponsive)
             })
     }
 
-    fn fail_less(&self, suspect: NodeId, others: &[&ServerRecord]) -> bool {
+    fn others_fail_less(&self, suspect: NodeId, others: &[&ServerRecord]) -> bool {
         let own_rate = self
             .servers
             .iter()
@@ -109,6 +109,6 @@
             .iter()
             .map(|server| server.ejection.failure_rate())
             .sum();
-        total <= own_rate * CLEARLY_BETTER * others.len() as f64
+        total <= own_rate * MAX_RELATIVE_FAILURE_RATE * others.len() as f64
     }
 }
--- a/crates/coordination/src/outbound/retry_decision.rs
+++ b/crates/coordination/src/outbound/retry_decision.rs
@@ -16,7 +16,7 @@
     /// When the caller stops waiting.
     pub deadline: Timestamp,
     /// When an attempt sent now is expected to be answered.
-    pub likely_answer: Timestamp,
+    pub expected_answer: Timestamp,
 }
 
 /// Whether the call allows another attempt. Whether another server has spare
@@ -25,5 +25,7 @@
 /// can't be sent.
 pub fn allows_retry(failed: &FailedAttempt) -> bool {
     let safe = failed.known_not_run || failed.repeatable;
-    safe && failed.replayable && failed.allowance_left > 0 && failed.likely_answer < failed.deadline
+    safe && failed.replayable
+        && failed.allowance_left > 0
+        && failed.expected_answer < failed.deadline
 }
--- a/crates/coordination/src/outbound/routing.rs
+++ b/crates/coordination/src/outbound/routing.rs
@@ -20,7 +20,7 @@
 
 use super::call_state::{CallState, Failure, outcome_of};
 use super::call_table::CallTable;
-use super::edge::{Chosen, Edge, Wanted};
+use super::edge::{ChosenServer, Edge, ServerRequirements};
 use super::retry_decision::allows_retry;
 use super::server_state::Outcome;
 use super::{AttemptAnswer, AttemptId, Call, CallId};
@@ -29,7 +29,7 @@
 use crate::refusal::{GivenUp, RetryAfter};
 
 /// How often the servers of all edges are checked for outliers to eject.
-const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
+const OUTLIER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Mixed into the node's seed, so that the random choice of servers and the random
 /// spread of `retry_after` times are independent.
 const REFUSAL_SEED: u64 = 0x5e1f;
@@ -43,7 +43,7 @@
     edges: BTreeMap<ServiceName, Edge>,
     calls: CallTable,
     next_attempt: u64,
-    next_sweep: Timestamp,
+    next_outlier_check: Timestamp,
 }
 
 impl Routing {
@@ -56,11 +56,11 @@
             edges: BTreeMap::new(),
             calls: CallTable::default(),
             next_attempt: 0,
-            next_sweep: Timestamp::ZERO,
+            next_outlier_check: Timestamp::ZERO,
         }
     }
 
-    fn start(
+    fn start_call(
         &mut self,
         now: Timestamp,
         view: &View,
@@ -68,26 +68,26 @@
         call: Call,
         effects: &mut Vec<OutboundEffect>,
     ) {
-        let refusal = self.refusal(now, view, &call);
+        let refusal = self.refusal_reason(now, view, &call);
         self.calls.insert(id, CallState::new(call));
         let chosen = match refusal {
             Some(reason) => Err(reason),
             None => self.choose_first(now, view, id),
         };
         match chosen {
-            Ok(chosen) => self.send(now, id, chosen, effects),
+            Ok(chosen) => self.send_attempt(now, id, chosen, effects),
             Err(reason) => self.give_up(now, view, id, reason.into(), effects),
         }
     }
 
     /// Why the call is refused without looking for a server, if it is.
-    fn refusal(&self, now: Timestamp, view: &View, call: &Call) -> Option<RefusalReason> {
+    fn refusal_reason(&self, now: Timestamp, view: &View, call: &Call) -> Option<RefusalReason> {
         let context = &call.context;
         if view.table.any_row(&call.service).is_none() {
             Some(RefusalReason::UnknownService)
         } else if context.deadline <= now {
             Some(RefusalReason::DeadlineTooShort)
-        } else if !self.admits(now, view, call) {
+        } else if !self.service_admits(now, view, call) {
             Some(RefusalReason::Overloaded)
         } else {
             None
@@ -96,7 +96,7 @@
 
     /// Whether the service's servers admit the call's priority as far as this node
     /// knows, and no call of a more important class was refused just before.
-    fn admits(&self, now: Timestamp, view: &View, call: &Call) -> bool {
+    fn service_admits(&self, now: Timestamp, view: &View, call: &Call) -> bool {
         let priority = call.context.priority;
         self.edges.get(&call.service).is_none_or(|edge| {
             edge.level(now, view).admits(priority) && edge.class_floor.admits(now, priority.class)
@@ -108,7 +108,7 @@
         now: Timestamp,
         view: &View,
         id: CallId,
-    ) -> Result<Chosen, RefusalReason> {
+    ) -> Result<ChosenServer, RefusalReason> {
         let state = self.calls.get(id).ok_or(RefusalReason::Cancelled)?;
         let service = state.call.service.clone();
         let (zone, random) = (self.zone, &mut self.random);
@@ -116,15 +116,15 @@
             .edges
             .entry(service.clone())
             .or_insert_with(|| Edge::new(service, zone, random));
-        let wanted = Wanted {
+        let requirements = ServerRequirements {
             priority: state.call.context.priority,
             tried: &[],
             side: None,
-            may_try: state.may_repeat(),
-            needs_room: false,
+            may_use_half_open: state.may_repeat(),
+            needs_capacity: false,
         };
         edge.budget.deposit();
-        edge.choose(now, view, &wanted, &mut self.random)
+        edge.choose(now, view, &requirements, &mut self.random)
     }
 
     /// Chooses the server for a retry if the current attempt ends in `failure`,
@@ -136,21 +136,23 @@
         view: &View,
         id: CallId,
         failure: Failure,
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenServer> {
         let state = self.calls.get(id)?;
         let edge = self.edges.get_mut(&state.call.service)?;
         let failed = state.failed_attempt(now, failure, edge.latency.mean_at(now));
         if !allows_retry(&failed) {
             return None;
         }
-        let wanted = Wanted {
+        let requirements = ServerRequirements {
             priority: state.call.context.priority,
-            tried: &state.tried_with_current(),
+            tried: &state.failed_servers_with_current(),
             side: state.side,
-            may_try: false,
-            needs_room: true,
+            may_use_half_open: false,
+            needs_capacity: true,
         };
-        let chosen = edge.choose(now, view, &wanted, &mut self.random).ok()?;
+        let chosen = edge
+            .choose(now, view, &requirements, &mut self.random)
+            .ok()?;
         edge.budget.withdraw().then_some(chosen)
     }
 
@@ -160,26 +162,26 @@
         now: Timestamp,
         id: CallId,
         failure: Failure,
-        chosen: Chosen,
+        chosen: ChosenServer,
         effects: &mut Vec<OutboundEffect>,
     ) {
         let Some(state) = self.calls.get_mut(id) else {
             return;
         };
-        let ended = state.current;
+        let ended_attempt = state.current;
         state.end_attempt(failure);
         state.allowance -= 1;
-        if let Some(attempt) = ended {
-            self.calls.unlink(attempt.id);
+        if let Some(attempt) = ended_attempt {
+            self.calls.remove_attempt(attempt.id);
         }
-        self.send(now, id, chosen, effects);
+        self.send_attempt(now, id, chosen, effects);
     }
 
-    fn send(
+    fn send_attempt(
         &mut self,
         now: Timestamp,
         id: CallId,
-        chosen: Chosen,
+        chosen: ChosenServer,
         effects: &mut Vec<OutboundEffect>,
     ) {
         let Some(state) = self.calls.get_mut(id) else {
@@ -188,15 +190,16 @@
         let Some(edge) = self.edges.get_mut(&state.call.service) else {
             return;
         };
-        edge.count(chosen, !state.tried.is_empty());
+        edge.count_attempt(chosen, !state.failed_servers.is_empty());
         self.next_attempt += 1;
         let attempt = AttemptId(self.next_attempt);
         state.side = Some(chosen.side);
         let context = state.begin_attempt(attempt, chosen.server);
-        let patience = edge.attempt_timeout(context.deadline.saturating_since(now));
-        edge.server_mut(now, chosen.server).dispatched(now, attempt);
-        self.calls.link(attempt, id);
-        self.calls.set_timer(id, now + patience);
+        let timeout = edge.attempt_timeout(context.deadline.saturating_since(now));
+        edge.server_mut(now, chosen.server)
+            .record_dispatch(now, attempt);
+        self.calls.register_attempt(attempt, id);
+        self.calls.set_timer(id, now + timeout);
         effects.push(OutboundEffect::Dispatch {
             call: id,
             attempt,
@@ -205,7 +208,7 @@
         });
     }
 
-    fn answered(
+    fn handle_answer(
         &mut self,
         now: Timestamp,
         view: &View,
@@ -216,11 +219,11 @@
         let Some(id) = self.calls.call_of(attempt) else {
             return;
         };
-        self.learn(now, id, attempt, &answer);
+        self.record_answer(now, id, attempt, &answer);
         if answer.result == (AttemptResult::Completed { success: true }) {
             return self.deliver(id, answer, effects);
         }
-        let failure = Failure::told_by(&answer);
+        let failure = Failure::from_answer(&answer);
         if let Some(chosen) = self.choose_retry(now, view, id, failure) {
             return self.retry(now, id, failure, chosen, effects);
         }
@@ -238,18 +241,24 @@
         if let Some(state) = self.calls.get_mut(id) {
             state.end_attempt(failure);
         }
-        self.calls.unlink(attempt);
+        self.calls.remove_attempt(attempt);
         self.give_up(now, view, id, given_up, effects);
     }
 
     /// Records what an answer reveals about the server that sent it.
-    fn learn(&mut self, now: Timestamp, id: CallId, attempt: AttemptId, answer: &AttemptAnswer) {
+    fn record_answer(
+        &mut self,
+        now: Timestamp,
+        id: CallId,
+        attempt: AttemptId,
+        answer: &AttemptAnswer,
+    ) {
         let Some(state) = self.calls.get(id) else {
             return;
         };
         let edge = self.edges.get_mut(&state.call.service);
         if let (Some(edge), Some(current)) = (edge, state.current) {
-            edge.learn(
+            edge.record_outcome(
                 now,
                 current.server,
                 attempt,
@@ -274,31 +283,31 @@
             return;
         };
         if let Some(edge) = self.edges.get_mut(&state.call.service) {
-            edge.learn(now, current.server, current.id, outcome, None);
-            edge.closed(current.server, current.id);
+            edge.record_outcome(now, current.server, current.id, outcome, None);
+            edge.record_stream_closed(current.server, current.id);
         }
         effects.push(OutboundEffect::Cancel {
             attempt: current.id,
         });
     }
 
-    fn wake(&mut self, now: Timestamp, view: &View, effects: &mut Vec<OutboundEffect>) {
-        if now >= self.next_sweep {
-            self.next_sweep = now + SWEEP_INTERVAL;
+    fn handle_wake(&mut self, now: Timestamp, view: &View, effects: &mut Vec<OutboundEffect>) {
+        if now >= self.next_outlier_check {
+            self.next_outlier_check = now + OUTLIER_CHECK_INTERVAL;
             for edge in self.edges.values_mut() {
                 edge.eject_outliers(now, view);
                 edge.forget_unlisted(view);
             }
         }
         while let Some(id) = self.calls.pop_due(now) {
-            self.timed_out(now, view, id, effects);
+            self.handle_timer(now, view, id, effects);
         }
     }
 
     /// Handles the timer of a call: its attempt takes unusually long, or its
     /// deadline has come. A slow attempt is replaced if the call may be repeated
     /// and another server can take it; otherwise the call keeps waiting for it.
-    fn timed_out(
+    fn handle_timer(
         &mut self,
         now: Timestamp,
         view: &View,
@@ -335,17 +344,17 @@
     ) {
         match event {
             OutboundEvent::CallArrived { call, description } => {
-                self.start(now, view, call, description, effects);
+                self.start_call(now, view, call, description, effects);
             }
             OutboundEvent::AttemptAnswered { attempt, answer } => {
-                self.answered(now, view, attempt, answer, effects);
+                self.handle_answer(now, view, attempt, answer, effects);
             }
-            OutboundEvent::AttemptClosed { attempt, .. } => self.closed(attempt),
-            OutboundEvent::CallCancelled { call } => self.cancel(now, call, effects),
-            OutboundEvent::Wake => self.wake(now, view, effects),
+            OutboundEvent::AttemptClosed { attempt, .. } => self.handle_stream_closed(attempt),
+            OutboundEvent::CallCancelled { call } => self.cancel_call(now, call, effects),
+            OutboundEvent::Wake => self.handle_wake(now, view, effects),
             OutboundEvent::Resumed { .. } => {
                 for edge in self.edges.values_mut() {
-                    edge.resumed(now);
+                    edge.handle_resume(now);
                 }
             }
         }
--- a/crates/coordination/src/outbound/routing/final_answer.rs
+++ b/crates/coordination/src/outbound/routing/final_answer.rs
@@ -23,16 +23,16 @@
         let Some(state) = self.calls.get_mut(id) else {
             return;
         };
-        let unspent = RetryAllowance(state.allowance_after(Failure::told_by(&answer)));
+        let unspent = RetryAllowance(state.allowance_after(Failure::from_answer(&answer)));
         let Some(current) = state.current.as_mut() else {
             return;
         };
         current.delivered = true;
         let current = *current;
         if let Some(edge) = self.edges.get_mut(&state.call.service) {
-            edge.streams(current.server, current.id);
+            edge.record_stream_started(current.server, current.id);
         }
-        self.calls.stop_timer(id);
+        self.calls.cancel_timer(id);
         effects.push(OutboundEffect::Answer {
             call: id,
             answer: CallAnswer::Deliver {
@@ -73,7 +73,7 @@
 
     /// Removes the call of an attempt whose delivered answer was passed on to its
     /// last byte or broke off.
-    pub(super) fn closed(&mut self, attempt: AttemptId) {
+    pub(super) fn handle_stream_closed(&mut self, attempt: AttemptId) {
         let Some(id) = self.calls.call_of(attempt) else {
             return;
         };
@@ -85,12 +85,17 @@
             return;
         };
         if let Some(edge) = self.edges.get_mut(&state.call.service) {
-            edge.closed(current.server, attempt);
+            edge.record_stream_closed(current.server, attempt);
         }
     }
 
     /// Gives up the current attempt of a cancelled call and removes the call.
-    pub(super) fn cancel(&mut self, now: Timestamp, id: CallId, effects: &mut Vec<OutboundEffect>) {
+    pub(super) fn cancel_call(
+        &mut self,
+        now: Timestamp,
+        id: CallId,
+        effects: &mut Vec<OutboundEffect>,
+    ) {
         self.abandon_attempt(now, id, Outcome::GivenUp, effects);
         self.calls.remove(id);
     }
--- a/crates/coordination/src/outbound/server_choice.rs
+++ b/crates/coordination/src/outbound/server_choice.rs
@@ -13,7 +13,7 @@
 
 /// A server of the caller's own zone is preferred below this utilization, in calls
 /// per call allowed in flight.
-const NEAR_ZONE_UTILIZATION: f64 = 0.6;
+const MAX_LOCAL_ZONE_UTILIZATION: f64 = 0.6;
 
 /// A server that the attempt could be sent to.
 #[derive(Clone, Copy, Debug)]
@@ -45,23 +45,23 @@
     context: ChoiceContext,
     random: &mut impl Rng,
 ) -> Option<NodeId> {
-    let near: Vec<Candidate<'_>> = candidates
+    let local: Vec<Candidate<'_>> = candidates
         .iter()
-        .filter(|candidate| is_near_with_room(candidate, context))
+        .filter(|candidate| is_local_with_capacity(candidate, context))
         .copied()
         .collect();
-    if near.is_empty() {
+    if local.is_empty() {
         better_of_two(candidates, context, random)
     } else {
-        better_of_two(&near, context, random)
+        better_of_two(&local, context, random)
     }
 }
 
-fn is_near_with_room(candidate: &Candidate<'_>, context: ChoiceContext) -> bool {
+fn is_local_with_capacity(candidate: &Candidate<'_>, context: ChoiceContext) -> bool {
     let record = candidate.record;
     candidate.zone == context.zone
-        && !record.is_starting(context.now)
-        && record.utilization(context.now, context.limit) < NEAR_ZONE_UTILIZATION
+        && !record.is_in_slow_start(context.now)
+        && record.utilization(context.now, context.limit) < MAX_LOCAL_ZONE_UTILIZATION
 }
 
 fn better_of_two(
--- a/crates/coordination/src/outbound/server_state.rs
+++ b/crates/coordination/src/outbound/server_state.rs
@@ -73,14 +73,14 @@
     }
 
     /// Records that an attempt was sent to the server.
-    pub fn dispatched(&mut self, now: Timestamp, attempt: AttemptId) {
+    pub fn record_dispatch(&mut self, now: Timestamp, attempt: AttemptId) {
         self.outstanding.insert(attempt, now);
         self.unanswered_since.get_or_insert(now);
     }
 
     /// Records the end of an attempt and returns how long it took; none if the
     /// attempt is not outstanding.
-    pub fn ended(
+    pub fn record_end(
         &mut self,
         now: Timestamp,
         attempt: AttemptId,
@@ -96,30 +96,30 @@
             Outcome::Refused | Outcome::Failed => {}
         }
         match outcome {
-            Outcome::Succeeded | Outcome::Refused | Outcome::Failed => self.heard_of(now),
+            Outcome::Succeeded | Outcome::Refused | Outcome::Failed => self.reset_unanswered(now),
             Outcome::Unreachable | Outcome::TimedOut | Outcome::GivenUp => self.last_given_up = now,
         }
-        self.ejection.record(now, outcome);
+        self.ejection.record_outcome(now, outcome);
         Some(elapsed)
     }
 
-    fn heard_of(&mut self, now: Timestamp) {
+    fn reset_unanswered(&mut self, now: Timestamp) {
         self.unanswered_since = (!self.outstanding.is_empty()).then_some(now);
     }
 
     /// Records that an answer's body is being passed on, during which the server is
     /// still busy with the attempt.
-    pub fn streams(&mut self, attempt: AttemptId) {
+    pub fn record_stream_started(&mut self, attempt: AttemptId) {
         self.streaming.insert(attempt);
     }
 
     /// Records that the last byte of an answer was passed on.
-    pub fn closed(&mut self, attempt: AttemptId) {
+    pub fn record_stream_closed(&mut self, attempt: AttemptId) {
         self.streaming.remove(&attempt);
     }
 
     /// Records a load report of the server.
-    pub fn reported(&mut self, now: Timestamp, report: LoadReport) {
+    pub fn record_report(&mut self, now: Timestamp, report: LoadReport) {
         self.report = report;
         self.reported_at = Some(now);
         self.outstanding_at_report = self.own_calls();
@@ -137,14 +137,14 @@
     /// Resets the time without an answer and drops the load report after the
     /// process was paused: that no answer was seen during the pause says nothing
     /// about the server.
-    pub fn resumed(&mut self, now: Timestamp) {
-        self.heard_of(now);
+    pub fn handle_resume(&mut self, now: Timestamp) {
+        self.reset_unanswered(now);
         self.reported_at = None;
     }
 
     /// How long the server has owed answers without giving any, until now or
     /// until the last outstanding attempt was given up.
-    pub fn silence(&self, now: Timestamp) -> Duration {
+    pub fn time_without_answer(&self, now: Timestamp) -> Duration {
         let Some(since) = self.unanswered_since else {
             return Duration::ZERO;
         };
@@ -203,13 +203,13 @@
     /// [`SLOW_START_SHARE`] to 1 while the server is new or just back from
     /// ejection.
     fn slow_start_share(&self, now: Timestamp) -> f64 {
-        let since = self.first_seen.max(self.ejection.returned_at());
+        let since = self.first_seen.max(self.ejection.reinstated_at());
         let age = now.saturating_since(since).as_secs_f64();
         (age / SLOW_START.as_secs_f64()).clamp(SLOW_START_SHARE, 1.0)
     }
 
     /// Whether the server is in slow start and gets less than its full share.
-    pub fn is_starting(&self, now: Timestamp) -> bool {
+    pub fn is_in_slow_start(&self, now: Timestamp) -> bool {
         self.slow_start_share(now) < 1.0
     }
 
--- a/crates/coordination/src/outbound/side_choice.rs
+++ b/crates/coordination/src/outbound/side_choice.rs
@@ -59,7 +59,7 @@
         } else if weights.old == 0 {
             Side::New
         } else {
-            self.more_owed(share_of_old)
+            self.side_owed_more(share_of_old)
         };
         let given_to_old = if side == Side::Old { 1.0 } else { 0.0 };
         let owed = self.owed_to_old + share_of_old - given_to_old;
@@ -67,7 +67,7 @@
         Some(side)
     }
 
-    fn more_owed(&self, share_of_old: f64) -> Side {
+    fn side_owed_more(&self, share_of_old: f64) -> Side {
         let owed_to_old = self.owed_to_old + share_of_old;
         let owed_to_new = 1.0 - owed_to_old;
         if owed_to_old >= owed_to_new {
--- a/crates/coordination/tests/routing.rs
+++ b/crates/coordination/tests/routing.rs
@@ -15,11 +15,11 @@
 const OPEN: AdmissionLevel = AdmissionLevel::OPEN;
 
 /// Makes `calls` calls, one every 5 ms beginning at `from` milliseconds. All
-/// servers answer but those in `silent`, which accept calls and never answer.
+/// servers answer but those in `unresponsive`, which accept calls and never answer.
 /// Returns the server that each call was sent to.
-fn run_with_silent(
+fn run_with_unresponsive(
     driver: &mut OutboundDriver,
-    silent: &[NodeId],
+    unresponsive: &[NodeId],
     from: u64,
     calls: u64,
 ) -> Vec<NodeId> {
@@ -29,7 +29,7 @@
         driver.event(now, OutboundEvent::Wake);
         let attempt = driver.send(now);
         used.push(attempt.server);
-        if !silent.contains(&attempt.server) {
+        if !unresponsive.contains(&attempt.server) {
             driver.answer(
                 at(from + number * 5 + 4),
                 attempt.attempt,
@@ -42,26 +42,29 @@
 }
 
 #[test]
-fn server_that_accepts_and_never_answers_is_left_out() {
+fn server_that_accepts_and_never_answers_gets_almost_no_calls() {
     let mut driver = OutboundDriver::new(view((1, 0), 3, 0));
-    run_with_silent(&mut driver, &[], 0, 500);
-    let gray = node(2);
-    run_with_silent(&mut driver, &[gray], 2500, 100);
-    let used = run_with_silent(&mut driver, &[gray], 3000, 100);
-    let to_gray = used.iter().filter(|server| **server == gray).count();
+    run_with_unresponsive(&mut driver, &[], 0, 500);
+    let unresponsive_server = node(2);
+    run_with_unresponsive(&mut driver, &[unresponsive_server], 2500, 100);
+    let used = run_with_unresponsive(&mut driver, &[unresponsive_server], 3000, 100);
+    let to_unresponsive = used
+        .iter()
+        .filter(|server| **server == unresponsive_server)
+        .count();
     assert!(
-        to_gray <= 2,
-        "{to_gray} of 100 calls went to the server that does not answer"
+        to_unresponsive <= 2,
+        "{to_unresponsive} of 100 calls went to the server that does not answer"
     );
 }
 
 #[test]
-fn side_that_fell_silent_is_replaced_by_the_other() {
+fn side_that_stops_answering_gets_almost_no_calls() {
     let mut driver = OutboundDriver::new(view((1, 1), 3, 3));
-    run_with_silent(&mut driver, &[], 0, 500);
+    run_with_unresponsive(&mut driver, &[], 0, 500);
     let new_side: Vec<NodeId> = (101..104).map(node).collect();
-    run_with_silent(&mut driver, &new_side, 2500, 100);
-    let used = run_with_silent(&mut driver, &new_side, 3000, 200);
+    run_with_unresponsive(&mut driver, &new_side, 2500, 100);
+    let used = run_with_unresponsive(&mut driver, &new_side, 3000, 200);
     let lost = used
         .iter()
         .filter(|server| new_side.contains(server))
@@ -73,25 +76,25 @@
 }
 
 #[test]
-fn call_that_cannot_be_repeated_avoids_a_server_that_owes_an_answer() {
+fn call_that_cannot_be_repeated_is_not_sent_to_a_server_that_owes_an_answer() {
     let mut driver = OutboundDriver::new(view((1, 0), 3, 0));
-    run_with_silent(&mut driver, &[], 0, 500);
-    let gray = node(2);
-    let used = run_with_silent(&mut driver, &[gray], 2500, 8);
-    assert!(used.contains(&gray));
+    run_with_unresponsive(&mut driver, &[], 0, 500);
+    let unresponsive_server = node(2);
+    let used = run_with_unresponsive(&mut driver, &[unresponsive_server], 2500, 8);
+    assert!(used.contains(&unresponsive_server));
     driver.event(at(2510), OutboundEvent::Wake);
     for number in 0..20 {
         let now = at(2600 + number);
         let critical = context(PriorityClass::Critical, 64, now + Duration::from_secs(1));
         let effects = driver.call(now, critical, false);
         let attempt = sent(&effects).expect("sent");
-        assert_ne!(attempt.server, gray);
+        assert_ne!(attempt.server, unresponsive_server);
         driver.answer(now, attempt.attempt, SUCCESS, Some(load(OPEN)));
     }
 }
 
 #[test]
-fn failures_of_all_servers_eject_none() {
+fn no_server_is_ejected_when_all_servers_fail() {
     let mut driver = OutboundDriver::new(view((1, 0), 3, 0));
     let failure = AttemptResult::Completed { success: false };
     let mut used = BTreeSet::new();
@@ -111,7 +114,7 @@
 }
 
 #[test]
-fn retry_goes_to_another_server_and_only_when_safe() {
+fn refused_attempt_is_retried_on_another_server_and_unsafe_retry_is_not_sent() {
     let mut driver = OutboundDriver::new(view((1, 0), 3, 0));
     let first = driver.send(at(0));
     let effects = driver.answer(
@@ -124,11 +127,11 @@
     assert_ne!(second.server, first.server);
 
     let effects = driver.call(at(2), context(PriorityClass::Critical, 0, at(1000)), false);
-    let charge = sent(&effects).expect("sent");
+    let critical_attempt = sent(&effects).expect("sent");
     let lost = AttemptResult::Unknown {
         reason: RefusalReason::AnswerLost,
     };
-    let effects = driver.answer(at(3), charge.attempt, lost, None);
+    let effects = driver.answer(at(3), critical_attempt.attempt, lost, None);
     assert!(
         sent(&effects).is_none(),
         "a call that is not repeatable and may have run was retried"
@@ -140,7 +143,7 @@
 }
 
 #[test]
-fn call_that_may_have_run_once_is_never_called_not_run() {
+fn call_that_may_have_run_is_never_answered_as_not_run() {
     let mut driver = OutboundDriver::new(view((1, 0), 2, 0));
     let first = driver.send(at(0));
     let lost = AttemptResult::Unknown {
@@ -215,7 +218,7 @@
 }
 
 #[test]
-fn refused_callers_are_told_different_times() {
+fn refused_callers_get_different_retry_after_times() {
     let mut driver = OutboundDriver::new(view((1, 0), 0, 0));
     let mut times = BTreeSet::new();
     for _ in 0..100 {
@@ -265,7 +268,7 @@
 }
 
 #[test]
-fn deadline_that_passes_is_answered_in_that_moment_and_cancelled() {
+fn call_is_answered_and_its_attempt_cancelled_when_its_deadline_passes() {
     let mut driver = OutboundDriver::new(view((1, 0), 1, 0));
     let first = driver.send(at(0));
     let mut due = at(0);
@@ -289,7 +292,7 @@
 }
 
 #[test]
-fn leaving_server_gets_nothing_new() {
+fn leaving_server_gets_no_new_attempts() {
     let mut driver = OutboundDriver::new(view((1, 0), 2, 0));
     let first = driver.send(at(0));
     let mut report = load(OPEN);
--- a/crates/coordination/tests/side_weights.rs
+++ b/crates/coordination/tests/side_weights.rs
@@ -8,7 +8,7 @@
 /// Number of consecutive calls over which each side must receive its share.
 const WINDOW: usize = 200;
 
-fn choices(choice: &mut SideChoice, weights: SideWeights, calls: usize) -> Vec<Side> {
+fn choose_sides(choice: &mut SideChoice, weights: SideWeights, calls: usize) -> Vec<Side> {
     (0..calls).filter_map(|_| choice.next(weights)).collect()
 }
 
@@ -19,36 +19,36 @@
             return TestResult::discard();
         }
         let mut choice = SideChoice::with_phase(f64::from(phase) / 256.0);
-        let sides = choices(&mut choice, weights, 3 * WINDOW);
+        let sides = choose_sides(&mut choice, weights, 3 * WINDOW);
         let expected = WINDOW as f64 * f64::from(old) / weights.total() as f64;
-        let exact = sides.windows(WINDOW).all(|window| {
-            let olds = window.iter().filter(|side| **side == Side::Old).count();
-            (olds as f64 - expected).abs() < 2.0
+        let within_two = sides.windows(WINDOW).all(|window| {
+            let old_calls = window.iter().filter(|side| **side == Side::Old).count();
+            (old_calls as f64 - expected).abs() < 2.0
         });
-        TestResult::from_bool(exact)
+        TestResult::from_bool(within_two)
     }
 
-    fn nudging_a_weight_causes_no_burst(steps: Vec<u8>) -> bool {
+    fn small_change_of_a_weight_causes_no_burst(steps: Vec<u8>) -> bool {
         let mut choice = SideChoice::default();
-        let mut owed = 0.0_f64;
+        let mut credit_of_old = 0.0_f64;
         steps.iter().all(|step| {
             let new = u32::from(step % 101);
             let weights = SideWeights { old: 100 - new, new };
-            choices(&mut choice, weights, 20).into_iter().all(|side| {
-                owed += f64::from(weights.old) / 100.0;
-                if side == Side::Old { owed -= 1.0; }
-                owed.abs() < 2.0
+            choose_sides(&mut choice, weights, 20).into_iter().all(|side| {
+                credit_of_old += f64::from(weights.old) / 100.0;
+                if side == Side::Old { credit_of_old -= 1.0; }
+                credit_of_old.abs() < 2.0
             })
         })
     }
 }
 
 #[test]
-fn side_without_weight_gets_nothing() {
+fn side_without_weight_gets_no_calls() {
     let mut choice = SideChoice::default();
     let only_new = SideWeights { old: 0, new: 5 };
     assert!(
-        choices(&mut choice, only_new, 50)
+        choose_sides(&mut choice, only_new, 50)
             .iter()
             .all(|side| *side == Side::New)
     );
