--- a/crates/coordination/src/inbound/admission_control.rs
+++ b/crates/coordination/src/inbound/admission_control.rs
@@ -1,4 +1,4 @@
-//! The product's inbound decisions for all services beside a node.
+//! The product's inbound policy, for all services with a back end local to a node.
 
 use std::collections::BTreeMap;
 
@@ -12,12 +12,12 @@
 use crate::View;
 use crate::refusal::RetryAfter;
 
-/// Admits, queues or refuses attempts, apart for each service.
+/// Inbound policy that admits, queues or refuses attempts, independently for each
+/// service.
 ///
-/// [`InboundEffect::Run`] is the point between admission and execution: what
-/// must be agreed on before a call runs can be done by whoever carries it out,
-/// and an attempt that turns out not to run is reported as
-/// [`InboundEvent::RunClosed`].
+/// [`InboundEffect::Run`] separates admission from execution: any agreement that a
+/// call needs before it runs is reached by the code that carries out the effect.
+/// If the attempt is then not run, that code reports [`InboundEvent::RunClosed`].
 #[derive(Debug)]
 pub struct AdmissionControl {
     side: Side,
@@ -28,8 +28,8 @@
 }
 
 impl AdmissionControl {
-    /// Decisions of a node on `side`; `seed` spreads the times told to refused
-    /// callers.
+    /// Creates the policy of a node on `side`; `seed` determines the random spread
+    /// of the `retry_after` times sent to refused callers.
     pub fn new(side: Side, seed: u64) -> Self {
         AdmissionControl {
             side,
@@ -67,7 +67,8 @@
         });
     }
 
-    /// Lets a service's admission decide and carries out its verdicts.
+    /// Applies `decision` to a service's admission state and turns the resulting
+    /// verdicts into effects.
     fn decide(
         &mut self,
         service: &ServiceName,
@@ -212,7 +213,8 @@
                     admission.leave(now, verdicts);
                 });
             }
-            // Health endpoints lag and mislead; what the node sees decides.
+            // Health endpoints may report late or wrong, so admission depends only
+            // on what the node itself observes.
             InboundEvent::HealthReported { .. } | InboundEvent::AnswerRecorded { .. } => {}
         }
     }
--- a/crates/coordination/src/inbound/admission_threshold.rs
+++ b/crates/coordination/src/inbound/admission_threshold.rs
@@ -1,77 +1,85 @@
-//! The lowest priority that gets through to the back end, as told upstream.
+//! Estimate of the lowest priority that gets through to the back end, reported to
+//! upstream nodes as the admission level.
 //!
-//! The queue itself serves the most important first and turns the rest away.
-//! This is the estimate of where the line runs, so that callers further up
-//! refuse at once what would be turned away here.
+//! The queue itself serves the most important attempts first and rejects the rest.
+//! The admission level estimates the lowest priority that is served, so that
+//! upstream callers refuse at once the calls that would be rejected here.
 //!
-//! In short windows the surplus of demand over capacity is taken from what is
-//! seen here: the growth of the queue, plus what was turned away, less what free
-//! slots could have served. The line moves by a part of that surplus, and by a
-//! smaller part of the distance of the queue from a short target. User priorities are uniform and the same for a whole request tree,
-//! so that every server sheds the same requests.
+//! In each short window the surplus of demand over capacity is measured locally:
+//! the growth of the queue, plus the attempts rejected, less the calls that free
+//! slots could have served. The level is corrected by a part of that surplus, and
+//! by a smaller part of the difference between the queue and its short target
+//! length. User priorities are uniformly distributed and the same for a whole
+//! request tree, so that every server sheds the same requests.
 
 use std::time::Duration;
 
 use lifthollow_protocol::AdmissionLevel;
 use lifthollow_state::Timestamp;
 
-/// How often the level is revised while there are enough arrivals to judge by.
+/// Interval at which the level is revised while there are enough arrivals.
 const WINDOW: Duration = Duration::from_millis(100);
-/// Arrivals that are enough.
+/// Number of arrivals in a window that is enough to revise the level.
 const MIN_ARRIVALS: u32 = 20;
-/// How long they are waited for.
+/// Longest window: after this the level is revised whatever the number of
+/// arrivals.
 const MAX_WINDOW: Duration = Duration::from_millis(400);
-/// Calls that free slots could have served, at which there is clearly room.
+/// Number of calls that free slots could have served at which the level is revised
+/// without waiting for enough arrivals.
 const CLEAR_ROOM: f64 = 5.0;
-/// Demand above the line is not cut below this share of the capacity seen.
+/// The demand at and above the level is not cut below this share of the runs that
+/// ended, which measure the capacity.
 const KEPT_CAPACITY: f64 = 0.9;
-/// Admission levels there are.
+/// Number of admission levels: 3 classes of 128 user priorities.
 const LEVELS: usize = 384;
-/// Levels over which the demand just above the line is averaged.
+/// Number of levels over which the demand just above the level is averaged.
 const DENSITY_SPAN: usize = 64;
-/// Share of the demand counts kept from one window to the next.
+/// Factor that the counts of demand and of ended runs are multiplied with after
+/// each window.
 const DEMAND_MEMORY: f64 = 0.8;
-/// Slots in use, relative to the limit, at which the level stays.
+/// Utilization of the slots, relative to the limit, at which there is no spare
+/// capacity.
 const TARGET_UTILIZATION: f64 = 1.0;
-/// Utilization below which the room is no longer extrapolated.
+/// Lowest utilization from which the spare capacity is extrapolated.
 const MIN_UTILIZATION: f64 = 0.05;
-/// Part of the surplus that one window corrects: callers learn of a new level
-/// only with later answers, so that more would overshoot.
+/// Share of the surplus that one window corrects. Callers learn of a new level
+/// only with later answers, so a larger share would overshoot.
 const SURPLUS_GAIN: f64 = 0.3;
-/// Part of the queue's distance from its target that one window corrects.
+/// Share of the queue's excess over its target length that one window corrects.
 const QUEUE_GAIN: f64 = 0.1;
-/// Calls that may wait, relative to the square root of those that run: that is
-/// how much the number of arrivals varies by chance.
+/// Target length of the queue, relative to the square root of the limit of running
+/// calls: the number of arrivals varies at random by about that square root.
 const DEFAULT_TARGET_QUEUE: f64 = 0.8;
-/// Largest share of the demand that one window shuts out.
+/// Largest share of the demand that one window excludes by raising the level.
 const MAX_RAISE: f64 = 0.3;
-/// Levels that one window lets in at most.
+/// Largest number of levels by which one window lowers the level.
 const MAX_LOWERING: f64 = 64.0;
 
-/// What the server looks like between two events.
+/// Occupancy of the server between two events.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Occupancy {
-    /// Calls running.
+    /// Number of calls running.
     pub running: usize,
-    /// Calls allowed to run at once.
+    /// Number of calls allowed to run at once.
     pub limit: u32,
-    /// Calls waiting.
+    /// Number of calls waiting in the queue.
     pub queued: usize,
 }
 
-/// Admission level of one service on one server.
+/// Estimator of the admission level of one service on one server.
 #[derive(Clone, Debug)]
 pub struct AdmissionThreshold {
     level: u16,
+    /// Number of recent arrivals at each level, decayed by [`DEMAND_MEMORY`].
     demand: Vec<f64>,
-    /// Runs that ended, remembered as long as the demand.
+    /// Number of recent runs that ended, decayed like the demand.
     served: f64,
-    /// Calls that may wait, relative to the square root of the limit.
+    /// Target length of the queue, relative to the square root of the limit.
     target_queue: f64,
     window: Window,
 }
 
-/// What was seen since the level was last revised.
+/// Counts since the level was last revised.
 #[derive(Clone, Copy, Debug, Default)]
 struct Window {
     started: Timestamp,
@@ -97,8 +105,8 @@
 }
 
 impl AdmissionThreshold {
-    /// A threshold that keeps about `target_queue` times the square root of the
-    /// limit waiting.
+    /// Creates a threshold that keeps the queue at about `target_queue` times the
+    /// square root of the limit.
     pub fn with_target_queue(target_queue: f64) -> Self {
         AdmissionThreshold {
             target_queue,
@@ -106,19 +114,19 @@
         }
     }
 
-    /// The lowest level that gets through.
+    /// The lowest admission level that gets through to the back end.
     pub fn level(&self) -> AdmissionLevel {
         AdmissionLevel(self.level)
     }
 
-    /// Forgets what was seen, but keeps the level until it is revised.
+    /// Resets all counts, but keeps the level until it is next revised.
     pub fn restart(&mut self, now: Timestamp) {
         self.demand.fill(0.0);
         self.served = 0.0;
         self.window = Window::starting_at(now, 0);
     }
 
-    /// An attempt arrived.
+    /// Records that an attempt of `level` arrived.
     pub fn arrived(&mut self, level: AdmissionLevel) {
         self.window.arrivals += 1;
         if let Some(count) = self.demand.get_mut(usize::from(level.0)) {
@@ -126,19 +134,21 @@
         }
     }
 
-    /// An attempt found no room, or was evicted for another.
+    /// Records that an attempt was rejected for lack of capacity or evicted for
+    /// another one.
     pub fn turned_away(&mut self) {
         self.window.turned_away += 1;
     }
 
-    /// A run ended.
+    /// Records that a run ended.
     pub fn finished(&mut self) {
         self.window.finished += 1;
         self.served += 1.0;
     }
 
-    /// Accounts for the time since the last call, during which the server
-    /// looked like `occupancy`, and revises the level when it is due.
+    /// Accounts for the time since the last call of this function, during which
+    /// the server had the given occupancy, and revises the level when the window is
+    /// over.
     pub fn observe(&mut self, now: Timestamp, occupancy: Occupancy) {
         self.window.accumulate(now, occupancy);
         if self.window.is_over(now) {
@@ -162,7 +172,8 @@
         self.served *= DEMAND_MEMORY;
     }
 
-    /// Shuts out the least important share of the demand above the line.
+    /// Raises the level so that the least important `share` of the admitted demand
+    /// is excluded.
     fn raise(&mut self, share: f64) {
         let demand = self.demand_above_line();
         let spare = demand - KEPT_CAPACITY * self.served;
@@ -174,8 +185,9 @@
         }
     }
 
-    /// Lets in more, as a share of the demand above the line. The demand below
-    /// is not seen here; it is taken to be as dense as just above.
+    /// Lowers the level so that the admitted demand grows by `share`. The demand
+    /// below the level does not reach this server; it is assumed to be as dense as
+    /// just above the level.
     fn lower(&mut self, share: f64) {
         let line = usize::from(self.level);
         let near = &self.demand[line..(line + DENSITY_SPAN).min(LEVELS)];
@@ -218,19 +230,20 @@
         self.last = occupancy;
     }
 
-    /// Demand less capacity, in calls.
+    /// Demand in excess of capacity, in calls; negative if there is spare capacity.
     fn surplus(&self) -> f64 {
         let growth = self.last.queued as f64 - self.queue_at_start as f64;
         growth + f64::from(self.turned_away) - self.room()
     }
 
-    /// Calls that wait beyond the target.
+    /// Number of waiting calls in excess of the target length; negative if fewer
+    /// wait.
     fn backlog(&self, target_queue: f64) -> f64 {
         let target = f64::from(self.last.limit).sqrt() * target_queue;
         self.last.queued as f64 - target
     }
 
-    /// Calls that free slots could have served.
+    /// Number of calls that free slots could have served.
     fn room(&self) -> f64 {
         let elapsed = self.observed.saturating_since(self.started).as_secs_f64();
         let utilization = self.busy_seconds / elapsed.max(f64::EPSILON);
--- a/crates/coordination/src/inbound/concurrency_limit.rs
+++ b/crates/coordination/src/inbound/concurrency_limit.rs
@@ -1,42 +1,49 @@
-//! How many calls may run at the back end at once.
+//! Adaptive limit of the calls that may run on the back end at once.
 //!
-//! The limit moves under the table's ceiling by additive increase and
-//! multiplicative decrease. It is driven by what the node sees: the back end's
-//! own refusals lower it, completions while it is in use raise it. Health
-//! endpoints do not move it.
+//! The limit changes below the table's ceiling by additive increase and
+//! multiplicative decrease. It depends on what the node observes: refusals by the
+//! back end lower it, and completions while most of the limit is in use raise it.
+//! Health endpoints do not change it.
 
 use std::time::Duration;
 
 use lifthollow_state::Timestamp;
 
-/// The limit after a refusal, relative to the calls in flight at that moment.
+/// The limit after a refusal, relative to the number of calls in flight at that
+/// moment.
 const DECREASE: f64 = 0.9;
-/// Refusals closer together than this count as one.
+/// Refusals within this time after the one that lowered the limit do not lower it
+/// again.
 const DECREASE_INTERVAL: Duration = Duration::from_millis(50);
-/// The limit is raised only while at least this share of it is in use.
+/// The limit is raised only while at least this share of it is in use by running
+/// calls.
 const IN_USE: f64 = 0.8;
-/// Without a refusal for this long, what an earlier one taught is forgotten.
+/// After this long without a refusal, the limit grows quickly again up to the
+/// ceiling.
 const MEMORY: Duration = Duration::from_secs(10);
 
-/// An adaptive limit of calls in flight.
+/// Adaptive limit of the calls in flight on one back end.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConcurrencyLimit {
-    /// The limit; none before the first refusal: the ceiling applies.
+    /// The adapted limit, in calls; none while only the ceiling applies, as before
+    /// the first refusal.
     adapted: Option<f64>,
-    /// Below it the limit grows by one with each completion, above it by one
-    /// with each round of completions.
+    /// A limit, in calls: below it the adapted limit grows by one with each
+    /// completion, above it by one with each `limit` completions.
     slow_growth_above: f64,
     last_refusal: Timestamp,
 }
 
 impl ConcurrencyLimit {
-    /// The limit now, at least one so that recovery is noticed.
+    /// The current limit under `ceiling`, in calls. It is at least one, so that the
+    /// back end's recovery is noticed.
     pub fn current(&self, ceiling: u32) -> u32 {
         let adapted = self.adapted.map_or(ceiling, |limit| limit as u32);
         adapted.min(ceiling).max(1)
     }
 
-    /// The back end refused a call while `in_flight` others were running.
+    /// Records that the back end refused a call while `in_flight` others were
+    /// running.
     pub fn backend_refused(&mut self, now: Timestamp, in_flight: usize) {
         let since = now.saturating_since(self.last_refusal);
         if self.adapted.is_some() && since < DECREASE_INTERVAL {
@@ -48,7 +55,7 @@
         self.last_refusal = now;
     }
 
-    /// The back end completed a call; `in_flight` includes it.
+    /// Records that the back end completed a call; `in_flight` includes that call.
     pub fn completed(&mut self, now: Timestamp, in_flight: usize, ceiling: u32) {
         let Some(limit) = self.adapted else {
             return;
--- a/crates/coordination/src/inbound/mod.rs
+++ b/crates/coordination/src/inbound/mod.rs
@@ -1,8 +1,9 @@
-//! The server's side of an attempt: admitted to the back end, queued or refused.
+//! The server's side of an attempt: whether it is run on the back end, queued or
+//! refused.
 //!
-//! [`admission_control`] is the product's policy; [`service_admission`] shows
-//! the order of its decisions: [`admission_threshold`], [`concurrency_limit`],
-//! [`queue`].
+//! [`admission_control`] is the product's policy. [`service_admission`] makes the
+//! decisions for one service, in this order: [`admission_threshold`],
+//! [`concurrency_limit`], [`queue`].
 
 pub mod admission_control;
 pub mod admission_threshold;
@@ -21,142 +22,144 @@
 
 use crate::View;
 
-/// An attempt that arrived at this node, numbered by whoever feeds the node
-/// events.
+/// Number of an attempt that arrived at this node, assigned by the caller of
+/// [`InboundPolicy::handle`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InboundId(pub u64);
 
 /// An attempt as it arrives from another node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// The service wanted; its back end stands beside this node.
+    /// The service called; its back end is local to this node.
     pub service: ServiceName,
-    /// What the attempt carries across hops.
+    /// Metadata that the attempt carries across hops.
     pub context: RequestContext,
-    /// The node it came from.
+    /// The node that sent the attempt.
     pub from: NodeId,
-    /// Digest of method, path and body of a call with an idempotency key.
+    /// Digest of method, path and body, for a call with an idempotency key.
     pub body_digest: u64,
 }
 
-/// How the back end treated a run.
+/// How a run ended on the back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunResult {
-    /// It ran the call and answered.
+    /// The back end ran the call and answered.
     Completed {
-        /// False if the answer says that the back end failed (HTTP 5xx).
+        /// False if the answer reports a failure of the back end (HTTP 5xx).
         success: bool,
     },
-    /// It shed the call before running it (HTTP 503 with `Retry-After`, or the
-    /// connection could not be opened).
+    /// The back end refused the call before running it: it answered HTTP 503 with
+    /// `Retry-After`, or the connection could not be opened.
     Refused {
-        /// When the back end asks to be called again.
+        /// How long the back end asks callers to wait before they call again.
         retry_after: Duration,
     },
     /// The answer was lost after the call may have started.
     Lost,
 }
 
-/// What the inbound side is told.
+/// An event that the inbound policy must handle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InboundEvent {
     /// An attempt arrived from another node.
     AttemptArrived {
-        /// Its number.
+        /// Number of the attempt.
         id: InboundId,
-        /// The attempt.
+        /// The attempt as it arrived.
         attempt: Attempt,
     },
     /// The head of the back end's answer arrived, or the run failed.
     RunAnswered {
-        /// The attempt.
+        /// The attempt that was run.
         id: InboundId,
-        /// How the back end treated it.
+        /// How the run ended on the back end.
         result: RunResult,
     },
-    /// How a run under a claim ended, to be given to repeats of the call. It is
-    /// reported when the answer's last byte has passed, before
+    /// The outcome of a run under a claim, recorded to answer repeats of the call.
+    /// It is reported when the answer's last byte has been passed on, before
     /// [`InboundEvent::RunClosed`]; without it the answer counts as lost.
     AnswerRecorded {
-        /// The attempt.
+        /// The attempt that was run.
         id: InboundId,
-        /// The answer, if it is not too large.
+        /// The outcome, with the answer if that is not too large.
         outcome: RecordedOutcome,
     },
-    /// The back end is free of the run: the answer's last byte has passed, or
+    /// The back end has finished the run: the answer's last byte was passed on, or
     /// the connection was closed.
     RunClosed {
-        /// The attempt.
+        /// The attempt whose run has ended.
         id: InboundId,
     },
-    /// The caller's node gave the attempt up, or its connection broke.
+    /// The calling node gave the attempt up, or its connection broke.
     AttemptCancelled {
-        /// The attempt.
+        /// The attempt that is cancelled.
         id: InboundId,
     },
-    /// What the back end's own health endpoint says. It may lag or mislead.
+    /// The back end's own health endpoint was queried. What it reports may be late
+    /// or wrong.
     HealthReported {
-        /// The service.
+        /// The service of the back end.
         service: ServiceName,
-        /// Whether it calls itself healthy.
+        /// Whether the back end reports itself as healthy.
         healthy: bool,
     },
-    /// The time asked for with `next_wake` has come.
+    /// The time returned by [`InboundPolicy::next_wake`] has come.
     Wake,
-    /// The process was paused; whatever was decided before may be stale.
+    /// The process was paused; earlier decisions may be stale.
     Resumed {
-        /// How long it was paused.
+        /// How long the process was paused.
         paused_for: Duration,
     },
-    /// A planned stop has begun: no new work.
+    /// A planned stop has begun: the node takes no new attempts.
     Leave,
 }
 
-/// What the inbound side wants done.
+/// An action that the inbound policy requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InboundEffect {
     /// Run the attempt on the back end.
     Run {
-        /// The attempt.
+        /// The attempt to run.
         id: InboundId,
-        /// When the back end should give up.
+        /// When the back end should stop working on the attempt.
         deadline: Timestamp,
     },
-    /// Run the attempt, whose idempotency key was claimed. If the run cannot start
-    /// in time, it must not start: [`RunResult::Refused`] is to be reported.
+    /// Run the attempt, whose idempotency key has been claimed. If the run cannot
+    /// start before `start_before`, it must not start, and [`RunResult::Refused`]
+    /// is to be reported.
     RunClaimed {
-        /// The attempt.
+        /// The attempt to run.
         id: InboundId,
-        /// When the back end should give up.
+        /// When the back end should stop working on the attempt.
         deadline: Timestamp,
-        /// From here on the run must not start any more.
+        /// Time from which on the run must not be started.
         start_before: Timestamp,
     },
-    /// Answer the caller's node with the answer recorded when the call ran.
+    /// Answer the calling node with the answer recorded when the call ran earlier.
     Replay {
-        /// The attempt.
+        /// The attempt that is answered.
         id: InboundId,
-        /// The complete answer.
+        /// The complete recorded answer.
         answer: RecordedAnswer,
     },
-    /// Answer the caller's node: a refusal, or the result that the back end's
-    /// answer amounts to. For `Completed` the answer's body follows.
+    /// Answer the calling node with a refusal or with the result of the back end's
+    /// answer. For `Completed` the answer's body follows.
     Answer {
-        /// The attempt.
+        /// The attempt that is answered.
         id: InboundId,
-        /// How it ended.
+        /// How the attempt ended.
         result: AttemptResult,
     },
-    /// Tell the back end to give up the run.
+    /// Tell the back end to stop the run.
     CancelRun {
-        /// The attempt.
+        /// The attempt whose run is cancelled.
         id: InboundId,
     },
 }
 
-/// Decisions about attempts that arrive for the back end beside this node.
+/// Policy that decides about attempts that arrive for this node's local back ends.
 pub trait InboundPolicy: Send {
-    /// Takes in one event and appends what is to be done to `effects`.
+    /// Handles one event and appends the requested actions to `effects`.
     fn handle(
         &mut self,
         now: Timestamp,
@@ -165,21 +168,21 @@
         effects: &mut Vec<InboundEffect>,
     );
 
-    /// When the policy wants [`InboundEvent::Wake`] next.
+    /// When the policy next needs [`InboundEvent::Wake`], if at all.
     fn next_wake(&self) -> Option<Timestamp>;
 
-    /// The load of a service, to be sent with every answer.
+    /// The load of a local service, sent to the calling node with every answer.
     fn load(&self, now: Timestamp, view: &View, service: &ServiceName) -> LoadReport;
 
-    /// Sets the lowest priority admitted by the services that the next attempt
-    /// for `service` needs further down. Baselines take no notice.
+    /// Sets the lowest priority admitted by the downstream services that the next
+    /// attempt for `service` needs. Baseline policies ignore it.
     fn set_downstream_level(&mut self, _service: &ServiceName, _level: AdmissionLevel) {}
 
-    /// Attempts that are queued or running.
+    /// Number of attempts that are queued or running.
     fn in_progress(&self) -> usize;
 }
 
-/// The result that the caller's node is told when the back end's answer is in.
+/// The result sent to the calling node for a run that ended with `result`.
 pub fn attempt_result(result: RunResult) -> AttemptResult {
     match result {
         RunResult::Completed { success } => AttemptResult::Completed { success },
--- a/crates/coordination/src/inbound/queue.rs
+++ b/crates/coordination/src/inbound/queue.rs
@@ -1,8 +1,8 @@
-//! Attempts that wait for a free slot at the back end.
+//! Queue of attempts that wait for a free slot at the back end.
 //!
-//! Ordered by priority, then by deadline. The least important one can be
-//! evicted for a more important one; those that can no longer finish in time
-//! are found without a scan.
+//! The attempts are ordered by priority, then by deadline. The attempt with the
+//! lowest priority can be evicted for a more important one, and attempts that can
+//! no longer finish in time are found without a scan.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,17 +11,18 @@
 
 use super::InboundId;
 
-/// An attempt that waits.
+/// An attempt that waits in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueuedAttempt {
-    /// Its number.
+    /// Number of the attempt.
     pub id: InboundId,
-    /// Its place in the order.
+    /// Priority of the attempt, by which the queue is ordered first.
     pub priority: Priority,
     /// When its caller stops waiting.
     pub deadline: Timestamp,
 }
 
+/// Sort key of a queued attempt; the lowest rank is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     priority: Reverse<Priority>,
@@ -47,7 +48,7 @@
     }
 }
 
-/// The queue of one service.
+/// The queue of one service's waiting attempts.
 #[derive(Debug, Default)]
 pub struct PriorityQueue {
     by_rank: BTreeSet<Rank>,
@@ -56,17 +57,17 @@
 }
 
 impl PriorityQueue {
-    /// Attempts that wait.
+    /// Number of attempts that wait.
     pub fn len(&self) -> usize {
         self.by_rank.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no attempt waits.
     pub fn is_empty(&self) -> bool {
         self.by_rank.is_empty()
     }
 
-    /// Adds an attempt.
+    /// Adds an attempt to the queue.
     pub fn push(&mut self, attempt: QueuedAttempt) {
         let rank = Rank::of(&attempt);
         self.by_rank.insert(rank);
@@ -74,7 +75,7 @@
         self.ranks.insert(attempt.id, rank);
     }
 
-    /// Takes out one attempt; says whether it was there.
+    /// Removes an attempt and returns whether it was in the queue.
     pub fn remove(&mut self, id: InboundId) -> bool {
         let Some(rank) = self.ranks.remove(&id) else {
             return false;
@@ -84,19 +85,19 @@
         true
     }
 
-    /// The priority of the most important attempt.
+    /// The priority of the most important attempt that waits.
     pub fn highest_priority(&self) -> Option<Priority> {
         self.by_rank.first().map(|rank| rank.priority.0)
     }
 
-    /// Takes out the most important attempt.
+    /// Removes and returns the attempt that is to be served first.
     pub fn pop_most_important(&mut self) -> Option<QueuedAttempt> {
         let attempt = self.by_rank.first()?.attempt();
         self.remove(attempt.id);
         Some(attempt)
     }
 
-    /// Takes out the least important attempt if it is less important than
+    /// Removes and returns the least important attempt if its priority is below
     /// `priority`.
     pub fn evict_below(&mut self, priority: Priority) -> Option<QueuedAttempt> {
         let attempt = self.by_rank.last()?.attempt();
@@ -107,7 +108,8 @@
         Some(attempt)
     }
 
-    /// Takes out an attempt whose deadline lies before `earliest_end`.
+    /// Removes and returns the attempt with the earliest deadline if that lies
+    /// before `earliest_end`.
     pub fn pop_due_before(&mut self, earliest_end: Timestamp) -> Option<QueuedAttempt> {
         let &(deadline, id) = self.by_deadline.first()?;
         if deadline >= earliest_end {
@@ -118,12 +120,13 @@
         Some(attempt)
     }
 
-    /// The earliest deadline of all that wait.
+    /// The earliest deadline of all waiting attempts.
     pub fn earliest_deadline(&self) -> Option<Timestamp> {
         self.by_deadline.first().map(|(deadline, _)| *deadline)
     }
 
-    /// How many wait that would be served before an attempt of `priority`.
+    /// Number of waiting attempts that would be served before a new attempt of
+    /// `priority`.
     pub fn ahead_of(&self, priority: Priority) -> usize {
         self.by_rank
             .iter()
--- a/crates/coordination/src/inbound/service_admission.rs
+++ b/crates/coordination/src/inbound/service_admission.rs
@@ -1,9 +1,9 @@
-//! Admission to the back end of one service: the decisions composed.
+//! Admission to the back end of one service.
 //!
-//! An attempt passes, in this order: the deadline, the admission level of the
-//! services needed further down, the class floor, a free slot under the
-//! concurrency limit, the queue. Each step can refuse it, and a refusal is
-//! answered at once. The admission threshold learns from what was turned away.
+//! An attempt is checked, in this order, against its deadline, the admission level
+//! of the downstream services it needs, the class floor, the free slots under the
+//! concurrency limit, and the queue. Each check can refuse it, and a refusal is
+//! answered at once. The admission threshold is adjusted by the attempts rejected.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,33 +18,35 @@
 use crate::class_floor::ClassFloor;
 use crate::latency::LatencyEstimate;
 
-/// After a pause nothing queued is started for this long: cancellations that
-/// came in meanwhile are taken in first.
+/// After a pause of the process no queued attempt is started for this long, so
+/// that cancellations which arrived during the pause are handled first.
 const SETTLE_AFTER_PAUSE: Duration = Duration::from_millis(5);
-/// The queue is checked for work that can't finish in time at most this often.
+/// Shortest interval between two checks of the queue for attempts that can't
+/// finish in time.
 const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 
-/// What is to become of an attempt.
+/// Decision about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Run it now.
+    /// Run the attempt now.
     Run {
-        /// The attempt.
+        /// The attempt to run.
         id: InboundId,
         /// When its caller stops waiting.
         deadline: Timestamp,
     },
-    /// Answer that it did not run.
+    /// Answer that the attempt did not run.
     Refuse {
-        /// The attempt.
+        /// The attempt to refuse.
         id: InboundId,
-        /// Its place in the order of shedding.
+        /// Priority of the attempt.
         priority: Priority,
-        /// Why.
+        /// Why the attempt is refused.
         reason: RefusalReason,
     },
 }
 
+/// State of an attempt that runs on the back end.
 #[derive(Clone, Copy, Debug)]
 struct Running {
     started: Timestamp,
@@ -52,7 +54,7 @@
     cancelled: bool,
 }
 
-/// State of one service's admission.
+/// Admission state of one service.
 #[derive(Debug, Default)]
 pub struct ServiceAdmission {
     limit: ConcurrencyLimit,
@@ -68,23 +70,23 @@
 }
 
 impl ServiceAdmission {
-    /// Sets the lowest priority admitted by the services that the next attempt
-    /// needs further down.
+    /// Sets the lowest priority admitted by the downstream services that the next
+    /// attempt needs.
     pub fn set_downstream(&mut self, level: AdmissionLevel) {
         self.downstream = level;
     }
 
-    /// The lowest priority that gets through here.
+    /// The lowest priority that gets through to this back end.
     pub fn level(&self) -> AdmissionLevel {
         self.threshold.level()
     }
 
-    /// Attempts that wait or run.
+    /// Number of attempts that wait or run.
     pub fn in_progress(&self) -> usize {
         self.queue.len() + self.running.len()
     }
 
-    /// The load as told to callers' nodes.
+    /// The load report sent to calling nodes.
     pub fn load(&self, row: Option<&TableRow>, leaving: bool) -> LoadReport {
         LoadReport {
             in_flight: self.running.len() as u32,
@@ -95,12 +97,13 @@
         }
     }
 
-    /// When something must be done without another event.
+    /// When [`ServiceAdmission::wake`] must be called if no other event comes
+    /// first.
     pub fn next_wake(&self) -> Option<Timestamp> {
         self.next_wake
     }
 
-    /// An attempt arrived.
+    /// Handles an attempt that arrived: runs, queues or refuses it.
     pub fn arrive(
         &mut self,
         now: Timestamp,
@@ -116,7 +119,8 @@
         self.start_queued(now, row, verdicts);
     }
 
-    /// Whether the attempt may wait for a slot or, if one is free, run.
+    /// Checks whether the attempt may run or wait for a slot; otherwise returns why
+    /// it is refused.
     fn admit(
         &mut self,
         now: Timestamp,
@@ -145,7 +149,8 @@
         self.make_room(now, row, attempt, verdicts)
     }
 
-    /// Evicts less important work if the queue is full.
+    /// Evicts a less important attempt if the queue is full; refuses the new one if
+    /// there is none.
     fn make_room(
         &mut self,
         now: Timestamp,
@@ -165,7 +170,8 @@
         Ok(())
     }
 
-    /// Time until an attempt of `priority` that waits now would be answered.
+    /// Expected time until a new attempt of `priority` that joins the queue now is
+    /// answered.
     fn expected_time(&self, now: Timestamp, row: &TableRow, priority: Priority) -> Duration {
         let turns = self.queue.ahead_of(priority) as f64 + 1.0;
         let limit = f64::from(self.current_limit(Some(row)));
@@ -173,8 +179,8 @@
         wait + self.time_to_answer.mean_at(now)
     }
 
-    /// The head of the back end's answer is in; says whether the caller's node
-    /// is still to be told.
+    /// Records the head of the back end's answer; returns whether the calling node
+    /// has yet to be answered.
     pub fn answered(
         &mut self,
         now: Timestamp,
@@ -201,7 +207,7 @@
         first
     }
 
-    /// The back end is free of a run.
+    /// Records that the back end has finished a run, and starts queued attempts.
     pub fn closed(
         &mut self,
         now: Timestamp,
@@ -231,8 +237,8 @@
         }
     }
 
-    /// The caller's node gave the attempt up; says whether a run must be
-    /// cancelled.
+    /// Handles an attempt that the calling node gave up; returns whether a run must
+    /// be cancelled.
     pub fn cancelled(&mut self, id: InboundId) -> bool {
         if self.queue.remove(id) {
             return false;
@@ -244,8 +250,9 @@
         true
     }
 
-    /// The process was paused: what waits is looked at again before any of it
-    /// is started.
+    /// Handles a pause of the process: refuses queued attempts whose deadline has
+    /// passed and delays the start of the others, which may have been cancelled
+    /// meanwhile.
     pub fn resumed(&mut self, now: Timestamp, verdicts: &mut Vec<Verdict>) {
         self.settles_at = now + SETTLE_AFTER_PAUSE;
         self.next_wake = Some(self.settles_at);
@@ -255,15 +262,16 @@
         }
     }
 
-    /// No new work: what waits is refused so that it can go elsewhere.
+    /// Refuses all queued attempts because the node leaves, so that their callers
+    /// can send them to other servers.
     pub fn leave(&mut self, now: Timestamp, verdicts: &mut Vec<Verdict>) {
         while let Some(attempt) = self.queue.pop_most_important() {
             verdicts.push(self.refuse(now, attempt, RefusalReason::Leaving));
         }
     }
 
-    /// Revises the threshold, drops what can't finish in time and starts what
-    /// has a slot.
+    /// Revises the threshold, refuses queued attempts that can't finish in time and
+    /// starts those for which there is a free slot.
     pub fn wake(&mut self, now: Timestamp, row: &TableRow, verdicts: &mut Vec<Verdict>) {
         self.observe(now, row);
         self.start_queued(now, row, verdicts);
@@ -286,7 +294,7 @@
             && priority.is_some_and(|priority| self.class_floor.admits(now, priority.class))
     }
 
-    /// When the queue must be looked at again without another event.
+    /// When the queue must be checked again if no other event comes first.
     fn next_check(&self, now: Timestamp) -> Option<Timestamp> {
         let deadline = self.queue.earliest_deadline()?;
         if now < self.settles_at {
@@ -302,7 +310,8 @@
         Some(check.max(now + MIN_CHECK_INTERVAL))
     }
 
-    /// Refuses what could not finish in time even if it started now.
+    /// Refuses queued attempts that could not finish in time even if they started
+    /// now.
     fn drop_hopeless(&mut self, now: Timestamp, verdicts: &mut Vec<Verdict>) {
         let earliest_end = now + self.time_to_answer.mean_at(now);
         while let Some(attempt) = self.queue.pop_due_before(earliest_end) {
@@ -352,7 +361,8 @@
     }
 }
 
-/// No more calls run at once than there may be connections to carry them.
+/// Table limit of calls running at once: no more than the connections allowed to
+/// carry them.
 fn ceiling(row: &TableRow) -> u32 {
     row.max_in_flight.min(row.max_connections)
 }
--- a/crates/coordination/tests/admission.rs
+++ b/crates/coordination/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Admission to the back end, under the failure each decision is meant for.
+//! Tests of admission to the back end, each under the kind of overload or failure
+//! that the decision handles.
 
 mod support;
 
@@ -81,7 +82,7 @@
     let (normal, effects) = driver.arrive(at(10), context(PriorityClass::Normal, 127, deadline));
     assert!(
         !is_run(&effects, normal),
-        "a critical call was refused just now"
+        "a normal call ran just after a critical one was refused"
     );
     let (normal, effects) = driver.arrive(at(200), context(PriorityClass::Normal, 127, deadline));
     assert!(is_run(&effects, normal));
@@ -109,8 +110,14 @@
     let running = fill_slots(&mut driver, at(100));
     let (hopeless, effects) = driver.arrive(at(100), context(PriorityClass::Normal, 64, at(260)));
     assert_eq!(refusal_of(&effects, hopeless), None);
-    let due = driver.policy.next_wake().expect("the queue is watched");
-    assert!(due < at(200), "a run takes 100 ms");
+    let due = driver
+        .policy
+        .next_wake()
+        .expect("a queue with an attempt in it has no wake time");
+    assert!(
+        due < at(200),
+        "the attempt is refused too late: a run takes 100 ms"
+    );
     let effects = driver.event(due, InboundEvent::Wake);
     let reason = Some(RefusalReason::DeadlineTooShort);
     assert_eq!(refusal_of(&effects, hopeless), reason);
@@ -170,7 +177,7 @@
     let effects = finish(&mut driver, at(5000), running[0]);
     assert!(
         !is_run(&effects, waiting),
-        "its cancellation may be on the way"
+        "a queued attempt was started right after a pause"
     );
     driver.event(at(5001), InboundEvent::AttemptCancelled { id: waiting });
     let effects = driver.event(at(5010), InboundEvent::Wake);
@@ -190,8 +197,9 @@
     assert!(matches!(effects[0], InboundEffect::Answer { id, .. } if id == running[0]));
 }
 
-/// Feeds a threshold with arrivals of all normal users, a fixed share of which
-/// a window can serve, and returns its level after some windows.
+/// Feeds a threshold with `demand` arrivals per window, spread over all normal user
+/// priorities, of which a window can serve `capacity`. Returns the level after 60
+/// windows; `from` is the number of the first one.
 fn settle(
     threshold: &mut admission_threshold::AdmissionThreshold,
     demand: u32,
