--- a/crates/coordination/src/inbound/admission_control.rs
+++ b/crates/coordination/src/inbound/admission_control.rs
@@ -40,7 +40,7 @@
         }
     }
 
-    fn arrive(
+    fn handle_arrival(
         &mut self,
         now: Timestamp,
         view: &View,
@@ -62,14 +62,14 @@
         };
         self.service_of.insert(id, attempt.service.clone());
         let service = attempt.service;
-        self.decide(&service, effects, |admission, verdicts| {
-            admission.arrive(now, row, queued, verdicts);
+        self.apply_decision(&service, effects, |admission, verdicts| {
+            admission.handle_arrival(now, row, queued, verdicts);
         });
     }
 
     /// Applies `decision` to a service's admission state and turns the resulting
     /// verdicts into effects.
-    fn decide(
+    fn apply_decision(
         &mut self,
         service: &ServiceName,
         effects: &mut Vec<InboundEffect>,
@@ -111,7 +111,7 @@
         });
     }
 
-    fn answered(
+    fn handle_answer(
         &mut self,
         now: Timestamp,
         view: &View,
@@ -126,7 +126,7 @@
         let Some(admission) = self.services.get_mut(service) else {
             return;
         };
-        if admission.answered(now, row, id, result) {
+        if admission.handle_answer(now, row, id, result) {
             effects.push(InboundEffect::Answer {
                 id,
                 result: attempt_result(result),
@@ -134,7 +134,7 @@
         }
     }
 
-    fn closed(
+    fn handle_run_closed(
         &mut self,
         now: Timestamp,
         view: &View,
@@ -145,17 +145,17 @@
             return;
         };
         let row = view.table.row(&service, self.side);
-        self.decide(&service, effects, |admission, verdicts| {
-            admission.closed(now, row, id, verdicts);
+        self.apply_decision(&service, effects, |admission, verdicts| {
+            admission.handle_run_closed(now, row, id, verdicts);
         });
     }
 
-    fn cancel(&mut self, id: InboundId, effects: &mut Vec<InboundEffect>) {
+    fn cancel_attempt(&mut self, id: InboundId, effects: &mut Vec<InboundEffect>) {
         let Some(service) = self.service_of.get(&id) else {
             return;
         };
         let admission = self.services.get_mut(service);
-        if admission.is_some_and(|admission| admission.cancelled(id)) {
+        if admission.is_some_and(|admission| admission.cancel_attempt(id)) {
             effects.push(InboundEffect::CancelRun { id });
         } else {
             self.service_of.remove(&id);
@@ -172,7 +172,7 @@
         let services: Vec<ServiceName> = self.services.keys().cloned().collect();
         for service in services {
             if let Some(row) = view.table.row(&service, self.side) {
-                self.decide(&service, effects, |admission, verdicts| {
+                self.apply_decision(&service, effects, |admission, verdicts| {
                     decision(admission, row, verdicts);
                 });
             }
@@ -190,27 +190,27 @@
     ) {
         match event {
             InboundEvent::AttemptArrived { id, attempt } => {
-                self.arrive(now, view, id, attempt, effects);
+                self.handle_arrival(now, view, id, attempt, effects);
             }
             InboundEvent::RunAnswered { id, result } => {
-                self.answered(now, view, id, result, effects);
+                self.handle_answer(now, view, id, result, effects);
             }
-            InboundEvent::RunClosed { id } => self.closed(now, view, id, effects),
-            InboundEvent::AttemptCancelled { id } => self.cancel(id, effects),
+            InboundEvent::RunClosed { id } => self.handle_run_closed(now, view, id, effects),
+            InboundEvent::AttemptCancelled { id } => self.cancel_attempt(id, effects),
             InboundEvent::Wake => {
                 self.for_each_service(view, effects, |admission, row, verdicts| {
-                    admission.wake(now, row, verdicts);
+                    admission.handle_wake(now, row, verdicts);
                 });
             }
             InboundEvent::Resumed { .. } => {
                 self.for_each_service(view, effects, |admission, _, verdicts| {
-                    admission.resumed(now, verdicts);
+                    admission.handle_resume(now, verdicts);
                 });
             }
             InboundEvent::Leave => {
                 self.leaving = true;
                 self.for_each_service(view, effects, |admission, _, verdicts| {
-                    admission.leave(now, verdicts);
+                    admission.refuse_queued(now, verdicts);
                 });
             }
             // Health endpoints may report late or wrong, so admission depends only
@@ -236,7 +236,7 @@
 
     fn set_downstream_level(&mut self, service: &ServiceName, level: AdmissionLevel) {
         let admission = self.services.entry(service.clone()).or_default();
-        admission.set_downstream(level);
+        admission.set_downstream_level(level);
     }
 
     fn in_progress(&self) -> usize {
--- a/crates/coordination/src/inbound/admission_threshold.rs
+++ b/crates/coordination/src/inbound/admission_threshold.rs
@@ -26,17 +26,17 @@
 const MAX_WINDOW: Duration = Duration::from_millis(400);
 /// Number of calls that free slots could have served at which the level is revised
 /// without waiting for enough arrivals.
-const CLEAR_ROOM: f64 = 5.0;
+const CLEAR_SPARE_CAPACITY: f64 = 5.0;
 /// The demand at and above the level is not cut below this share of the runs that
 /// ended, which measure the capacity.
-const KEPT_CAPACITY: f64 = 0.9;
+const MIN_DEMAND_PER_SERVED: f64 = 0.9;
 /// Number of admission levels: 3 classes of 128 user priorities.
-const LEVELS: usize = 384;
+const LEVEL_COUNT: usize = 384;
 /// Number of levels over which the demand just above the level is averaged.
 const DENSITY_SPAN: usize = 64;
 /// Factor that the counts of demand and of ended runs are multiplied with after
 /// each window.
-const DEMAND_MEMORY: f64 = 0.8;
+const DEMAND_DECAY: f64 = 0.8;
 /// Utilization of the slots, relative to the limit, at which there is no spare
 /// capacity.
 const TARGET_UTILIZATION: f64 = 1.0;
@@ -51,9 +51,9 @@
 /// calls: the number of arrivals varies at random by about that square root.
 const DEFAULT_TARGET_QUEUE: f64 = 0.8;
 /// Largest share of the demand that one window excludes by raising the level.
-const MAX_RAISE: f64 = 0.3;
+const MAX_EXCLUDED_SHARE: f64 = 0.3;
 /// Largest number of levels by which one window lowers the level.
-const MAX_LOWERING: f64 = 64.0;
+const MAX_LOWERED_LEVELS: f64 = 64.0;
 
 /// Occupancy of the server between two events.
 #[derive(Clone, Copy, Debug, Default)]
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug)]
 pub struct AdmissionThreshold {
     level: u16,
-    /// Number of recent arrivals at each level, decayed by [`DEMAND_MEMORY`].
+    /// Number of recent arrivals at each level, decayed by [`DEMAND_DECAY`].
     demand: Vec<f64>,
     /// Number of recent runs that ended, decayed like the demand.
     served: f64,
@@ -96,7 +96,7 @@
     fn default() -> Self {
         AdmissionThreshold {
             level: 0,
-            demand: vec![0.0; LEVELS],
+            demand: vec![0.0; LEVEL_COUNT],
             served: 0.0,
             target_queue: DEFAULT_TARGET_QUEUE,
             window: Window::default(),
@@ -159,28 +159,28 @@
 
     fn revise(&mut self) {
         let correction = SURPLUS_GAIN * self.window.surplus()
-            + QUEUE_GAIN * self.window.backlog(self.target_queue);
+            + QUEUE_GAIN * self.window.excess_queue(self.target_queue);
         let share = correction / f64::from(self.window.arrivals.max(1));
         if share > 0.0 {
-            self.raise(share.min(MAX_RAISE));
+            self.raise(share.min(MAX_EXCLUDED_SHARE));
         } else if self.level > 0 {
             self.lower(-share);
         }
         for count in &mut self.demand {
-            *count *= DEMAND_MEMORY;
+            *count *= DEMAND_DECAY;
         }
-        self.served *= DEMAND_MEMORY;
+        self.served *= DEMAND_DECAY;
     }
 
     /// Raises the level so that the least important `share` of the admitted demand
     /// is excluded.
     fn raise(&mut self, share: f64) {
-        let demand = self.demand_above_line();
-        let spare = demand - KEPT_CAPACITY * self.served;
-        let to_shut_out = (share * demand).min(spare);
-        let mut shut_out = 0.0;
-        while usize::from(self.level) < LEVELS - 1 && shut_out < to_shut_out {
-            shut_out += self.demand[usize::from(self.level)];
+        let demand = self.admitted_demand();
+        let excludable = demand - MIN_DEMAND_PER_SERVED * self.served;
+        let to_exclude = (share * demand).min(excludable);
+        let mut excluded = 0.0;
+        while usize::from(self.level) < LEVEL_COUNT - 1 && excluded < to_exclude {
+            excluded += self.demand[usize::from(self.level)];
             self.level += 1;
         }
     }
@@ -189,19 +189,19 @@
     /// below the level does not reach this server; it is assumed to be as dense as
     /// just above the level.
     fn lower(&mut self, share: f64) {
-        let line = usize::from(self.level);
-        let near = &self.demand[line..(line + DENSITY_SPAN).min(LEVELS)];
-        let density = near.iter().sum::<f64>() / near.len() as f64;
+        let level = usize::from(self.level);
+        let above = &self.demand[level..(level + DENSITY_SPAN).min(LEVEL_COUNT)];
+        let density = above.iter().sum::<f64>() / above.len() as f64;
         let levels = if density > 0.0 {
-            share * self.demand_above_line() / density
+            share * self.admitted_demand() / density
         } else {
-            MAX_LOWERING
+            MAX_LOWERED_LEVELS
         };
-        let step = levels.min(MAX_LOWERING).ceil() as u16;
+        let step = levels.min(MAX_LOWERED_LEVELS).ceil() as u16;
         self.level = self.level.saturating_sub(step);
     }
 
-    fn demand_above_line(&self) -> f64 {
+    fn admitted_demand(&self) -> f64 {
         self.demand[usize::from(self.level)..].iter().sum()
     }
 }
@@ -219,7 +219,7 @@
     fn is_over(&self, now: Timestamp) -> bool {
         let elapsed = now.saturating_since(self.started);
         let enough = self.arrivals >= MIN_ARRIVALS || elapsed >= MAX_WINDOW;
-        elapsed >= WINDOW && (enough || self.room() >= CLEAR_ROOM)
+        elapsed >= WINDOW && (enough || self.spare_capacity() >= CLEAR_SPARE_CAPACITY)
     }
 
     fn accumulate(&mut self, now: Timestamp, occupancy: Occupancy) {
@@ -233,18 +233,18 @@
     /// Demand in excess of capacity, in calls; negative if there is spare capacity.
     fn surplus(&self) -> f64 {
         let growth = self.last.queued as f64 - self.queue_at_start as f64;
-        growth + f64::from(self.turned_away) - self.room()
+        growth + f64::from(self.turned_away) - self.spare_capacity()
     }
 
     /// Number of waiting calls in excess of the target length; negative if fewer
     /// wait.
-    fn backlog(&self, target_queue: f64) -> f64 {
+    fn excess_queue(&self, target_queue: f64) -> f64 {
         let target = f64::from(self.last.limit).sqrt() * target_queue;
         self.last.queued as f64 - target
     }
 
     /// Number of calls that free slots could have served.
-    fn room(&self) -> f64 {
+    fn spare_capacity(&self) -> f64 {
         let elapsed = self.observed.saturating_since(self.started).as_secs_f64();
         let utilization = self.busy_seconds / elapsed.max(f64::EPSILON);
         let free = (TARGET_UTILIZATION - utilization).max(0.0);
--- a/crates/coordination/src/inbound/concurrency_limit.rs
+++ b/crates/coordination/src/inbound/concurrency_limit.rs
@@ -17,10 +17,10 @@
 const DECREASE_INTERVAL: Duration = Duration::from_millis(50);
 /// The limit is raised only while at least this share of it is in use by running
 /// calls.
-const IN_USE: f64 = 0.8;
+const MIN_UTILIZATION_TO_GROW: f64 = 0.8;
 /// After this long without a refusal, the limit grows quickly again up to the
 /// ceiling.
-const MEMORY: Duration = Duration::from_secs(10);
+const FAST_GROWTH_AFTER: Duration = Duration::from_secs(10);
 
 /// Adaptive limit of the calls in flight on one back end.
 #[derive(Clone, Copy, Debug, Default)]
@@ -44,7 +44,7 @@
 
     /// Records that the back end refused a call while `in_flight` others were
     /// running.
-    pub fn backend_refused(&mut self, now: Timestamp, in_flight: usize) {
+    pub fn record_refusal(&mut self, now: Timestamp, in_flight: usize) {
         let since = now.saturating_since(self.last_refusal);
         if self.adapted.is_some() && since < DECREASE_INTERVAL {
             return;
@@ -56,7 +56,7 @@
     }
 
     /// Records that the back end completed a call; `in_flight` includes that call.
-    pub fn completed(&mut self, now: Timestamp, in_flight: usize, ceiling: u32) {
+    pub fn record_completion(&mut self, now: Timestamp, in_flight: usize, ceiling: u32) {
         let Some(limit) = self.adapted else {
             return;
         };
@@ -64,10 +64,10 @@
             self.adapted = None;
             return;
         }
-        if (in_flight as f64) < limit.floor() * IN_USE {
+        if (in_flight as f64) < limit.floor() * MIN_UTILIZATION_TO_GROW {
             return;
         }
-        if now.saturating_since(self.last_refusal) > MEMORY {
+        if now.saturating_since(self.last_refusal) > FAST_GROWTH_AFTER {
             self.slow_growth_above = f64::from(ceiling);
         }
         let step = if limit < self.slow_growth_above {
--- a/crates/coordination/src/inbound/queue.rs
+++ b/crates/coordination/src/inbound/queue.rs
@@ -110,7 +110,7 @@
 
     /// Removes and returns the attempt with the earliest deadline if that lies
     /// before `earliest_end`.
-    pub fn pop_due_before(&mut self, earliest_end: Timestamp) -> Option<QueuedAttempt> {
+    pub fn pop_deadline_before(&mut self, earliest_end: Timestamp) -> Option<QueuedAttempt> {
         let &(deadline, id) = self.by_deadline.first()?;
         if deadline >= earliest_end {
             return None;
@@ -127,7 +127,7 @@
 
     /// Number of waiting attempts that would be served before a new attempt of
     /// `priority`.
-    pub fn ahead_of(&self, priority: Priority) -> usize {
+    pub fn count_ahead_of(&self, priority: Priority) -> usize {
         self.by_rank
             .iter()
             .take_while(|rank| rank.priority.0 >= priority)
--- a/crates/coordination/src/inbound/service_admission.rs
+++ b/crates/coordination/src/inbound/service_admission.rs
@@ -20,7 +20,7 @@
 
 /// After a pause of the process no queued attempt is started for this long, so
 /// that cancellations which arrived during the pause are handled first.
-const SETTLE_AFTER_PAUSE: Duration = Duration::from_millis(5);
+const QUEUE_HOLD_AFTER_PAUSE: Duration = Duration::from_millis(5);
 /// Shortest interval between two checks of the queue for attempts that can't
 /// finish in time.
 const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(1);
@@ -59,21 +59,21 @@
 pub struct ServiceAdmission {
     limit: ConcurrencyLimit,
     threshold: AdmissionThreshold,
-    downstream: AdmissionLevel,
+    downstream_level: AdmissionLevel,
     class_floor: ClassFloor,
     queue: PriorityQueue,
     running: BTreeMap<InboundId, Running>,
     time_to_answer: LatencyEstimate,
     time_in_slot: LatencyEstimate,
-    settles_at: Timestamp,
+    queue_held_until: Timestamp,
     next_wake: Option<Timestamp>,
 }
 
 impl ServiceAdmission {
     /// Sets the lowest priority admitted by the downstream services that the next
     /// attempt needs.
-    pub fn set_downstream(&mut self, level: AdmissionLevel) {
-        self.downstream = level;
+    pub fn set_downstream_level(&mut self, level: AdmissionLevel) {
+        self.downstream_level = level;
     }
 
     /// The lowest priority that gets through to this back end.
@@ -97,14 +97,14 @@
         }
     }
 
-    /// When [`ServiceAdmission::wake`] must be called if no other event comes
+    /// When [`ServiceAdmission::handle_wake`] must be called if no other event comes
     /// first.
     pub fn next_wake(&self) -> Option<Timestamp> {
         self.next_wake
     }
 
     /// Handles an attempt that arrived: runs, queues or refuses it.
-    pub fn arrive(
+    pub fn handle_arrival(
         &mut self,
         now: Timestamp,
         row: &TableRow,
@@ -131,7 +131,7 @@
         if now + self.time_to_answer.mean_at(now) > attempt.deadline {
             return Err(RefusalReason::DeadlineTooShort);
         }
-        if !self.downstream.admits(attempt.priority) {
+        if !self.downstream_level.admits(attempt.priority) {
             return Err(RefusalReason::DownstreamOverloaded);
         }
         self.threshold.arrived(AdmissionLevel::of(attempt.priority));
@@ -146,12 +146,12 @@
             self.threshold.turned_away();
             return Err(RefusalReason::Overloaded);
         }
-        self.make_room(now, row, attempt, verdicts)
+        self.ensure_queue_space(now, row, attempt, verdicts)
     }
 
     /// Evicts a less important attempt if the queue is full; refuses the new one if
     /// there is none.
-    fn make_room(
+    fn ensure_queue_space(
         &mut self,
         now: Timestamp,
         row: &TableRow,
@@ -173,15 +173,18 @@
     /// Expected time until a new attempt of `priority` that joins the queue now is
     /// answered.
     fn expected_time(&self, now: Timestamp, row: &TableRow, priority: Priority) -> Duration {
-        let turns = self.queue.ahead_of(priority) as f64 + 1.0;
+        let queue_position = self.queue.count_ahead_of(priority) as f64 + 1.0;
         let limit = f64::from(self.current_limit(Some(row)));
-        let wait = self.time_in_slot.mean_at(now).mul_f64(turns / limit);
+        let wait = self
+            .time_in_slot
+            .mean_at(now)
+            .mul_f64(queue_position / limit);
         wait + self.time_to_answer.mean_at(now)
     }
 
     /// Records the head of the back end's answer; returns whether the calling node
     /// has yet to be answered.
-    pub fn answered(
+    pub fn handle_answer(
         &mut self,
         now: Timestamp,
         row: Option<&TableRow>,
@@ -192,23 +195,23 @@
         let Some(run) = self.running.get_mut(&id) else {
             return false;
         };
-        let first = !run.answered;
+        let is_first = !run.answered;
         run.answered = true;
         let elapsed = now.saturating_since(run.started);
         match result {
             RunResult::Completed { .. } => {
                 self.time_to_answer.observe(now, elapsed);
                 let ceiling = row.map_or(1, ceiling);
-                self.limit.completed(now, in_flight, ceiling);
+                self.limit.record_completion(now, in_flight, ceiling);
             }
-            RunResult::Refused { .. } => self.limit.backend_refused(now, in_flight - 1),
+            RunResult::Refused { .. } => self.limit.record_refusal(now, in_flight - 1),
             RunResult::Lost => self.time_to_answer.observe_at_least(now, elapsed),
         }
-        first
+        is_first
     }
 
     /// Records that the back end has finished a run, and starts queued attempts.
-    pub fn closed(
+    pub fn handle_run_closed(
         &mut self,
         now: Timestamp,
         row: Option<&TableRow>,
@@ -222,12 +225,12 @@
         self.observe(now, row);
         if let Some(run) = self.running.remove(&id) {
             self.threshold.finished();
-            self.learn_time_in_slot(now, run);
+            self.record_time_in_slot(now, run);
         }
         self.start_queued(now, row, verdicts);
     }
 
-    fn learn_time_in_slot(&mut self, now: Timestamp, run: Running) {
+    fn record_time_in_slot(&mut self, now: Timestamp, run: Running) {
         let elapsed = now.saturating_since(run.started);
         if run.cancelled || !run.answered {
             self.time_in_slot.observe_at_least(now, elapsed);
@@ -239,7 +242,7 @@
 
     /// Handles an attempt that the calling node gave up; returns whether a run must
     /// be cancelled.
-    pub fn cancelled(&mut self, id: InboundId) -> bool {
+    pub fn cancel_attempt(&mut self, id: InboundId) -> bool {
         if self.queue.remove(id) {
             return false;
         }
@@ -253,18 +256,18 @@
     /// Handles a pause of the process: refuses queued attempts whose deadline has
     /// passed and delays the start of the others, which may have been cancelled
     /// meanwhile.
-    pub fn resumed(&mut self, now: Timestamp, verdicts: &mut Vec<Verdict>) {
-        self.settles_at = now + SETTLE_AFTER_PAUSE;
-        self.next_wake = Some(self.settles_at);
+    pub fn handle_resume(&mut self, now: Timestamp, verdicts: &mut Vec<Verdict>) {
+        self.queue_held_until = now + QUEUE_HOLD_AFTER_PAUSE;
+        self.next_wake = Some(self.queue_held_until);
         self.threshold.restart(now);
-        while let Some(attempt) = self.queue.pop_due_before(now) {
+        while let Some(attempt) = self.queue.pop_deadline_before(now) {
             verdicts.push(self.refuse(now, attempt, RefusalReason::Paused));
         }
     }
 
     /// Refuses all queued attempts because the node leaves, so that their callers
     /// can send them to other servers.
-    pub fn leave(&mut self, now: Timestamp, verdicts: &mut Vec<Verdict>) {
+    pub fn refuse_queued(&mut self, now: Timestamp, verdicts: &mut Vec<Verdict>) {
         while let Some(attempt) = self.queue.pop_most_important() {
             verdicts.push(self.refuse(now, attempt, RefusalReason::Leaving));
         }
@@ -272,33 +275,33 @@
 
     /// Revises the threshold, refuses queued attempts that can't finish in time and
     /// starts those for which there is a free slot.
-    pub fn wake(&mut self, now: Timestamp, row: &TableRow, verdicts: &mut Vec<Verdict>) {
+    pub fn handle_wake(&mut self, now: Timestamp, row: &TableRow, verdicts: &mut Vec<Verdict>) {
         self.observe(now, row);
         self.start_queued(now, row, verdicts);
     }
 
     fn start_queued(&mut self, now: Timestamp, row: &TableRow, verdicts: &mut Vec<Verdict>) {
-        self.drop_hopeless(now, verdicts);
+        self.refuse_unfinishable(now, verdicts);
         while self.may_start_queued(now) && self.has_free_slot(row) {
             let Some(attempt) = self.queue.pop_most_important() else {
                 break;
             };
-            self.run(now, attempt, verdicts);
+            self.start_run(now, attempt, verdicts);
         }
         self.next_wake = self.next_check(now);
     }
 
     fn may_start_queued(&self, now: Timestamp) -> bool {
         let priority = self.queue.highest_priority();
-        now >= self.settles_at
+        now >= self.queue_held_until
             && priority.is_some_and(|priority| self.class_floor.admits(now, priority.class))
     }
 
     /// When the queue must be checked again if no other event comes first.
     fn next_check(&self, now: Timestamp) -> Option<Timestamp> {
         let deadline = self.queue.earliest_deadline()?;
-        if now < self.settles_at {
-            return Some(self.settles_at);
+        if now < self.queue_held_until {
+            return Some(self.queue_held_until);
         }
         let latest_start = deadline.saturating_sub(self.time_to_answer.mean_at(now));
         let too_late = latest_start + Duration::from_micros(1);
@@ -312,15 +315,15 @@
 
     /// Refuses queued attempts that could not finish in time even if they started
     /// now.
-    fn drop_hopeless(&mut self, now: Timestamp, verdicts: &mut Vec<Verdict>) {
+    fn refuse_unfinishable(&mut self, now: Timestamp, verdicts: &mut Vec<Verdict>) {
         let earliest_end = now + self.time_to_answer.mean_at(now);
-        while let Some(attempt) = self.queue.pop_due_before(earliest_end) {
+        while let Some(attempt) = self.queue.pop_deadline_before(earliest_end) {
             self.threshold.turned_away();
             verdicts.push(self.refuse(now, attempt, RefusalReason::DeadlineTooShort));
         }
     }
 
-    fn run(&mut self, now: Timestamp, attempt: QueuedAttempt, verdicts: &mut Vec<Verdict>) {
+    fn start_run(&mut self, now: Timestamp, attempt: QueuedAttempt, verdicts: &mut Vec<Verdict>) {
         let run = Running {
             started: now,
             answered: false,
--- a/crates/coordination/tests/admission.rs
+++ b/crates/coordination/tests/admission.rs
@@ -24,7 +24,7 @@
         .collect()
 }
 
-fn finish(driver: &mut InboundDriver, now: Timestamp, id: InboundId) -> Vec<InboundEffect> {
+fn complete_run(driver: &mut InboundDriver, now: Timestamp, id: InboundId) -> Vec<InboundEffect> {
     let mut effects = driver.event(
         now,
         InboundEvent::RunAnswered {
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn nothing_less_important_is_admitted_just_after_a_refusal() {
+fn less_important_attempt_is_not_run_just_after_a_refusal() {
     let mut driver = InboundDriver::new();
     let running = fill_slots(&mut driver, at(0));
     let deadline = at(10_000);
@@ -77,7 +77,7 @@
         Some(RefusalReason::QueueFull)
     );
     for id in running {
-        finish(&mut driver, at(2), id);
+        complete_run(&mut driver, at(2), id);
     }
     let (normal, effects) = driver.arrive(at(10), context(PriorityClass::Normal, 127, deadline));
     assert!(
@@ -95,21 +95,28 @@
     let (late, _) = driver.arrive(at(0), context(PriorityClass::Normal, 5, at(9000)));
     let (early, _) = driver.arrive(at(0), context(PriorityClass::Normal, 5, at(8000)));
     let (critical, _) = driver.arrive(at(0), context(PriorityClass::Critical, 0, at(9500)));
-    assert!(is_run(&finish(&mut driver, at(10), running[0]), critical));
-    assert!(is_run(&finish(&mut driver, at(10), running[1]), early));
-    assert!(is_run(&finish(&mut driver, at(10), running[2]), late));
+    assert!(is_run(
+        &complete_run(&mut driver, at(10), running[0]),
+        critical
+    ));
+    assert!(is_run(
+        &complete_run(&mut driver, at(10), running[1]),
+        early
+    ));
+    assert!(is_run(&complete_run(&mut driver, at(10), running[2]), late));
 }
 
 #[test]
-fn queued_work_that_cannot_finish_in_time_is_refused_at_once_and_never_run() {
+fn queued_attempt_that_cannot_finish_in_time_is_refused_early_and_never_run() {
     let mut driver = InboundDriver::new();
     let warm_up = fill_slots(&mut driver, at(0));
     for id in warm_up {
-        finish(&mut driver, at(100), id);
+        complete_run(&mut driver, at(100), id);
     }
     let running = fill_slots(&mut driver, at(100));
-    let (hopeless, effects) = driver.arrive(at(100), context(PriorityClass::Normal, 64, at(260)));
-    assert_eq!(refusal_of(&effects, hopeless), None);
+    let (unfinishable, effects) =
+        driver.arrive(at(100), context(PriorityClass::Normal, 64, at(260)));
+    assert_eq!(refusal_of(&effects, unfinishable), None);
     let due = driver
         .policy
         .next_wake()
@@ -120,17 +127,23 @@
     );
     let effects = driver.event(due, InboundEvent::Wake);
     let reason = Some(RefusalReason::DeadlineTooShort);
-    assert_eq!(refusal_of(&effects, hopeless), reason);
-    assert!(!is_run(&finish(&mut driver, at(201), running[0]), hopeless));
+    assert_eq!(refusal_of(&effects, unfinishable), reason);
+    assert!(!is_run(
+        &complete_run(&mut driver, at(201), running[0]),
+        unfinishable
+    ));
 }
 
 #[test]
-fn work_whose_caller_is_gone_is_not_started() {
+fn cancelled_attempt_is_removed_from_the_queue_or_its_run_is_cancelled() {
     let mut driver = InboundDriver::new();
     let running = fill_slots(&mut driver, at(0));
-    let (gone, _) = driver.arrive(at(0), context(PriorityClass::Normal, 64, at(9000)));
-    driver.event(at(1), InboundEvent::AttemptCancelled { id: gone });
-    assert!(!is_run(&finish(&mut driver, at(2), running[0]), gone));
+    let (cancelled, _) = driver.arrive(at(0), context(PriorityClass::Normal, 64, at(9000)));
+    driver.event(at(1), InboundEvent::AttemptCancelled { id: cancelled });
+    assert!(!is_run(
+        &complete_run(&mut driver, at(2), running[0]),
+        cancelled
+    ));
     let id = running[1];
     let effects = driver.event(at(3), InboundEvent::AttemptCancelled { id });
     assert_eq!(effects, vec![InboundEffect::CancelRun { id }]);
@@ -159,14 +172,14 @@
         let deadline = at(100_000);
         let (id, _) = driver.arrive(now, context(PriorityClass::Normal, 64, deadline));
         let (other, _) = driver.arrive(now, context(PriorityClass::Normal, 64, deadline));
-        finish(&mut driver, now, id);
-        finish(&mut driver, now, other);
+        complete_run(&mut driver, now, id);
+        complete_run(&mut driver, now, other);
     }
     assert!(limit(&driver) > lowered);
 }
 
 #[test]
-fn paused_node_refuses_expired_work_and_looks_again_before_it_starts_the_rest() {
+fn paused_node_refuses_expired_attempts_and_delays_the_start_of_the_others() {
     let mut driver = InboundDriver::new();
     let running = fill_slots(&mut driver, at(0));
     let (expired, _) = driver.arrive(at(0), context(PriorityClass::Normal, 64, at(500)));
@@ -174,7 +187,7 @@
     let paused_for = Duration::from_secs(5);
     let effects = driver.event(at(5000), InboundEvent::Resumed { paused_for });
     assert_eq!(refusal_of(&effects, expired), Some(RefusalReason::Paused));
-    let effects = finish(&mut driver, at(5000), running[0]);
+    let effects = complete_run(&mut driver, at(5000), running[0]);
     assert!(
         !is_run(&effects, waiting),
         "a queued attempt was started right after a pause"
@@ -185,7 +198,7 @@
 }
 
 #[test]
-fn leaving_node_refuses_new_and_queued_work_and_finishes_what_runs() {
+fn leaving_node_refuses_new_and_queued_attempts_and_answers_running_ones() {
     let mut driver = InboundDriver::new();
     let running = fill_slots(&mut driver, at(0));
     let (queued, _) = driver.arrive(at(0), context(PriorityClass::Critical, 0, at(9000)));
@@ -193,14 +206,14 @@
     assert_eq!(refusal_of(&effects, queued), Some(RefusalReason::Leaving));
     let (late, effects) = driver.arrive(at(2), context(PriorityClass::Critical, 0, at(9000)));
     assert_eq!(refusal_of(&effects, late), Some(RefusalReason::Leaving));
-    let effects = finish(&mut driver, at(3), running[0]);
+    let effects = complete_run(&mut driver, at(3), running[0]);
     assert!(matches!(effects[0], InboundEffect::Answer { id, .. } if id == running[0]));
 }
 
 /// Feeds a threshold with `demand` arrivals per window, spread over all normal user
 /// priorities, of which a window can serve `capacity`. Returns the level after 60
 /// windows; `from` is the number of the first one.
-fn settle(
+fn level_after_windows(
     threshold: &mut admission_threshold::AdmissionThreshold,
     demand: u32,
     capacity: u32,
@@ -236,12 +249,12 @@
 }
 
 #[test]
-fn threshold_settles_where_demand_fits_and_opens_when_it_falls() {
+fn threshold_converges_to_the_capacity_and_opens_when_demand_falls() {
     let mut threshold = admission_threshold::AdmissionThreshold::default();
-    let overloaded = settle(&mut threshold, 100, 50, 0);
+    let overloaded = level_after_windows(&mut threshold, 100, 50, 0);
     assert!(
         (128 + 50..=128 + 80).contains(&overloaded),
         "level {overloaded}"
     );
-    assert_eq!(settle(&mut threshold, 40, 50, 60), 0);
+    assert_eq!(level_after_windows(&mut threshold, 40, 50, 60), 0);
 }
