--- a/crates/coordination/src/baseline/fixed_inbound.rs
+++ b/crates/coordination/src/baseline/fixed_inbound.rs
@@ -1,4 +1,4 @@
-//! Fixed ceilings, or none, with a first-in first-out queue.
+//! Inbound baseline policy: fixed limits or none, with a first-in first-out queue.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -11,10 +11,10 @@
     Attempt, InboundEffect, InboundEvent, InboundId, InboundPolicy, attempt_result,
 };
 
-/// What a refused caller's node is told.
+/// Time after which refused callers are asked to call again.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Inbound side of the baselines.
+/// Inbound policy of the baselines.
 #[derive(Debug)]
 pub struct FixedInbound {
     side: Side,
@@ -26,12 +26,13 @@
 }
 
 impl FixedInbound {
-    /// No limits: every attempt goes to the back end at once.
+    /// Creates a policy without limits: every attempt is run on the back end at once.
     pub fn passthrough(side: Side) -> Self {
         FixedInbound::new(side, false)
     }
 
-    /// The table's `max_in_flight` and `max_queue` as fixed ceilings.
+    /// Creates a policy that uses the table's `max_in_flight` and `max_queue` as fixed
+    /// limits.
     pub fn static_limits(side: Side) -> Self {
         FixedInbound::new(side, true)
     }
--- a/crates/coordination/src/baseline/fixed_outbound.rs
+++ b/crates/coordination/src/baseline/fixed_outbound.rs
@@ -1,4 +1,4 @@
-//! Round robin with a fixed count of retries at each hop.
+//! Outbound baseline policy: round robin with a fixed number of retries at each hop.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 
 const PASSTHROUGH_RETRIES: u32 = 3;
 const STATIC_LIMITS_RETRIES: u32 = 2;
-/// What the caller is told when nothing better is known.
+/// Time after which callers that got no complete answer are asked to call again.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Outbound side of the baselines.
+/// Outbound policy of the baselines.
 #[derive(Debug)]
 pub struct FixedOutbound {
     retries: u32,
@@ -34,11 +34,13 @@
     attempt: AttemptId,
     attempt_deadline: Timestamp,
     delivered: bool,
-    /// An earlier attempt may have run, so the call can't be called *not run*.
+    /// Whether an earlier attempt may have run, so that the call can't be answered as
+    /// *not run*.
     may_have_run: bool,
 }
 
-/// Smooth weighted round robin between sides, plain round robin inside.
+/// Smooth weighted round robin between the sides, plain round robin between the
+/// servers of a side.
 #[derive(Debug, Default)]
 struct Rotation {
     credit: [i64; 2],
@@ -46,12 +48,12 @@
 }
 
 impl FixedOutbound {
-    /// Three retries at each hop.
+    /// Creates a policy with three retries at each hop.
     pub fn passthrough() -> Self {
         FixedOutbound::with_retries(PASSTHROUGH_RETRIES)
     }
 
-    /// Two retries at each hop.
+    /// Creates a policy with two retries at each hop.
     pub fn static_limits() -> Self {
         FixedOutbound::with_retries(STATIC_LIMITS_RETRIES)
     }
@@ -158,7 +160,8 @@
         }
     }
 
-    /// Sends another attempt if the call may be retried; says whether it did.
+    /// Sends another attempt if the call may be retried; returns whether one was
+    /// sent.
     fn retry(
         &mut self,
         now: Timestamp,
@@ -235,7 +238,8 @@
         }
     }
 
-    /// Attempts that outlived the hop's timeout are cancelled and retried.
+    /// Cancels attempts that exceeded the hop's timeout, and retries or ends their
+    /// calls.
     fn expire(&mut self, now: Timestamp, view: &View, effects: &mut Vec<OutboundEffect>) {
         let expired: Vec<CallId> = self
             .calls
@@ -291,7 +295,7 @@
     }
 }
 
-/// Each attempt gets an equal share of the service's deadline.
+/// Timeout of one attempt: an equal share of the service's deadline.
 fn hop_timeout(row: &TableRow, retries: u32) -> Duration {
     row.deadline / (retries + 1)
 }
--- a/crates/coordination/src/baseline/mod.rs
+++ b/crates/coordination/src/baseline/mod.rs
@@ -1,5 +1,5 @@
-//! The ordinary policies that lifthollow is compared with, set as a competent
-//! engineer would set them.
+//! Baseline policies that lifthollow is compared with, configured as a competent
+//! engineer would configure them.
 //!
 //! - `passthrough`: round robin, three retries at each hop, unbounded queues.
 //! - `static-limits`: two retries at each hop, the table's limits as fixed
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -1,4 +1,5 @@
-//! One lifthollow process: fleet, outbound and inbound decisions composed.
+//! One lifthollow process, composed of its fleet state and its outbound and inbound
+//! policies.
 
 mod settings;
 
@@ -20,42 +21,43 @@
 
 pub use settings::NodeSettings;
 
-/// Everything that can happen to a node.
+/// An event that a node must handle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeEvent {
-    /// Calls of local callers.
+    /// An event about a call of a local caller.
     Outbound(OutboundEvent),
-    /// Attempts for the back end beside the node.
+    /// An event about an attempt for a local back end.
     Inbound(InboundEvent),
-    /// The platform and other nodes.
+    /// An event from the platform or from other nodes.
     Fleet(FleetEvent),
-    /// The time asked for with [`Node::next_wake`] has come.
+    /// The time returned by [`Node::next_wake`] has come.
     Wake,
 }
 
-/// Everything a node can want done.
+/// An action that a node requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeEffect {
-    /// For the caller's side.
+    /// An action on a call of a local caller.
     Outbound(OutboundEffect),
-    /// For the server's side.
+    /// An action on an attempt for a local back end.
     Inbound(InboundEffect),
-    /// For the platform and other nodes.
+    /// An action directed to the platform or to other nodes.
     Fleet(FleetEffect),
 }
 
-/// A wake this much later than asked for means that the process was paused.
+/// A wake that is late by more than this means that the process was paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
 /// A node wakes at least this often, so that it notices pauses.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a leaving node answers to new work; other servers take it at once.
+/// Answer of a leaving node to new attempts; they may be retried on other servers at
+/// once.
 const LEAVING_ANSWER: AttemptResult = AttemptResult::NotRun {
     reason: RefusalReason::Leaving,
     retry_after: Duration::ZERO,
 };
 
-/// One process of lifthollow.
+/// State of one lifthollow process.
 pub struct Node {
     settings: NodeSettings,
     fleet: Fleet,
@@ -67,14 +69,14 @@
 }
 
 impl Node {
-    /// A node that knows nothing yet but its settings.
+    /// Creates a node with the policies that its settings name and no other state.
     pub fn new(settings: NodeSettings) -> Self {
         let (outbound, inbound) = settings.decisions();
         Node::with_policies(settings, outbound, inbound)
     }
 
-    /// A node that runs the given decisions in place of those its settings name,
-    /// so that checks can be tried on decisions that are wrong on purpose.
+    /// Creates a node with the given policies in place of those its settings name,
+    /// so that checks can be tested with policies that are wrong on purpose.
     pub fn with_policies(
         settings: NodeSettings,
         outbound: Box<dyn OutboundPolicy>,
@@ -91,8 +93,8 @@
         }
     }
 
-    /// Lets attempts with an idempotency key run only under a claim. Without this
-    /// they run like others.
+    /// Makes attempts with an idempotency key run only under a claim. Without this
+    /// they run like all others.
     pub fn with_claims(self, settings: ClaimSettings) -> Self {
         Node {
             claims: Some(ClaimGate::new(settings)),
@@ -100,34 +102,36 @@
         }
     }
 
-    /// What this node's replica knows of a key; none without claims.
+    /// What this node's replica has recorded about an idempotency key; none if the
+    /// node runs without claims.
     pub fn key_report(&self, now: Timestamp, key: IdempotencyKey) -> Option<KeyReport> {
         self.claims.as_ref()?.report(now, key)
     }
 
-    /// Whether the node, told to stop, has yet to hand its claims over.
+    /// Whether the node is stopping and has yet to hand its claims over.
     pub fn is_handing_over(&self) -> bool {
         self.claims.as_ref().is_some_and(ClaimGate::is_handing_over)
     }
 
-    /// The settings the node was made with.
+    /// The settings that the node was created with.
     pub fn settings(&self) -> &NodeSettings {
         &self.settings
     }
 
-    /// The table in force and the servers known.
+    /// The table in force and the servers that this node knows.
     pub fn view(&self) -> &View {
         self.fleet.view()
     }
 
-    /// What is known of the fleet.
+    /// The node's state of the fleet.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// The load of a local service, to be sent with the answer of an attempt:
-    /// it includes what the services needed by calls from there refuse. To be
-    /// asked for before the attempt is settled.
+    /// The load of a local service, to be sent with the answer to attempt `id`. Its
+    /// admission level includes that of the downstream services which calls from
+    /// the attempt's source need. This must be called before the attempt is
+    /// settled.
     pub fn load_for_caller(
         &self,
         now: Timestamp,
@@ -142,31 +146,32 @@
         load
     }
 
-    /// What there is to tell operators of the services called from this node.
+    /// Reports for operators on the services called from this node.
     pub fn edges(&self, now: Timestamp) -> Vec<EdgeReport> {
         self.outbound.reports(now, self.fleet.view())
     }
 
-    /// The load of a local service.
+    /// The load of a local service, without that of downstream services.
     pub fn load(&self, now: Timestamp, service: &ServiceName) -> LoadReport {
         let mut load = self.inbound.load(now, self.fleet.view(), service);
         load.leaving |= !self.fleet.takes_new_work();
         load
     }
 
-    /// The retries that an attempt was lent and has not spent, to be sent with
-    /// its answer. To be called once, when [`InboundEffect::Answer`] is carried
-    /// out: what the attempt's calls give back later stays spent.
+    /// Closes the retry account of an attempt and returns the retries lent to it
+    /// that it has not spent, to be sent with its answer. This must be called once,
+    /// when [`InboundEffect::Answer`] is carried out: retries that the attempt's
+    /// calls return later count as spent.
     pub fn settle_allowance(&mut self, id: InboundId) -> RetryAllowance {
         self.request_tree.settle(id)
     }
 
-    /// Attempts queued or running beside this node.
+    /// Number of attempts queued for or running on the local back ends.
     pub fn in_progress(&self) -> usize {
         self.inbound.in_progress()
     }
 
-    /// When [`NodeEvent::Wake`] is wanted next, at the latest.
+    /// The latest time at which [`NodeEvent::Wake`] must be handled next.
     pub fn next_wake(&self, now: Timestamp) -> Timestamp {
         let wakes = [
             self.fleet.next_wake(),
@@ -178,7 +183,7 @@
         wakes.into_iter().flatten().min().unwrap_or(now)
     }
 
-    /// Takes in one event and appends what is to be done to `effects`.
+    /// Handles one event and appends the requested actions to `effects`.
     pub fn handle(&mut self, now: Timestamp, event: NodeEvent, effects: &mut Vec<NodeEffect>) {
         self.notice_pause(now, effects);
         match event {
@@ -189,8 +194,9 @@
         }
     }
 
-    /// A long gap between events means that the process did not run meanwhile,
-    /// because it wakes at least every [`HEARTBEAT_INTERVAL`].
+    /// Detects pauses of the process and reports them to the policies. A long gap
+    /// between events means that the process did not run meanwhile, because it wakes
+    /// at least every [`HEARTBEAT_INTERVAL`].
     fn notice_pause(&mut self, now: Timestamp, effects: &mut Vec<NodeEffect>) {
         let previous = self.last_handled.replace(now);
         let gap = previous.map_or(Duration::ZERO, |previous| now - previous);
@@ -224,8 +230,9 @@
         effects.extend(outbound_effects.into_iter().map(NodeEffect::Outbound));
     }
 
-    /// A planned stop is announced to the fleet as well. While the node leaves,
-    /// new attempts are refused as not run, whoever has not heard of it yet.
+    /// Handles an inbound event. A planned stop is announced to the fleet as well.
+    /// While the node leaves, new attempts are answered as not run, including those
+    /// of nodes that have not yet been notified.
     fn handle_inbound(
         &mut self,
         now: Timestamp,
@@ -275,7 +282,8 @@
         self.carry_out_claims(now, claimed, effects);
     }
 
-    /// Lets the inbound policy decide. What it wants to run is claimed first.
+    /// Passes an event to the inbound policy. With claims, the runs that the policy
+    /// requests are claimed first.
     fn ask_inbound(&mut self, now: Timestamp, event: InboundEvent, effects: &mut Vec<NodeEffect>) {
         let mut inbound_effects = Vec::new();
         self.inbound
@@ -316,7 +324,9 @@
         }
     }
 
-    /// What the services needed further down refuse is refused here as well.
+    /// Sets the admission level of the needed downstream services on the inbound
+    /// policy before it decides on an attempt, so that calls which those services
+    /// would refuse are refused here as well.
     fn pass_on_pressure(&mut self, now: Timestamp, event: &InboundEvent) {
         let InboundEvent::AttemptArrived { id, attempt } = event else {
             return;
@@ -327,8 +337,8 @@
         }
     }
 
-    /// The lowest priority that the services needed by calls from `source`
-    /// admit.
+    /// The lowest priority that the downstream services needed by calls from
+    /// `source` admit.
     fn downstream_level(&self, now: Timestamp, source: &CallSource) -> AdmissionLevel {
         downstream_level(self.request_tree.call_graph(), source, |needed| {
             self.outbound.level(now, self.fleet.view(), needed)
--- a/crates/coordination/src/node/settings.rs
+++ b/crates/coordination/src/node/settings.rs
@@ -1,4 +1,4 @@
-//! What a node knows of itself, and the decisions that follow from it.
+//! Settings of a node, and the policies and fleet settings derived from them.
 
 use lifthollow_state::{Incarnation, NodeId, ServiceName, Side, Zone};
 
@@ -8,30 +8,30 @@
 use crate::outbound::{OutboundPolicy, Routing};
 use crate::policy::PolicyKind;
 
-/// What a node knows of itself from its settings.
+/// Identity, place and policy of a node.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// The address other nodes reach it at.
+    /// The node's identity: the address that other nodes reach it at.
     pub node: NodeId,
-    /// This life of the node: larger than that of any process that ran at the
-    /// address before. The daemon takes microseconds of wall-clock time.
+    /// Incarnation of the node's process, larger than that of any process that ran at
+    /// the address before. The daemon uses the wall-clock time in microseconds.
     pub incarnation: Incarnation,
-    /// Its data centre.
+    /// The node's data centre.
     pub side: Side,
-    /// Its failure domain.
+    /// The node's failure domain.
     pub zone: Zone,
-    /// The services whose back ends stand beside it.
+    /// The services whose back ends are local to the node.
     pub services: Vec<ServiceName>,
-    /// Nodes to ask first when the platform's list is not at hand.
+    /// Nodes to contact first when the platform's list of machines is not available.
     pub seeds: Vec<NodeId>,
-    /// The decisions it runs.
+    /// The set of policies that the node runs.
     pub policy: PolicyKind,
     /// Seed of every random choice the node makes.
     pub seed: u64,
 }
 
 impl NodeSettings {
-    /// What the fleet part needs of them.
+    /// The settings of the node's [`crate::fleet::Fleet`].
     pub(super) fn for_fleet(&self) -> FleetSettings {
         FleetSettings {
             node: self.node,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The decisions of the policy they name.
+    /// Creates the outbound and inbound policies that these settings name.
     pub(super) fn decisions(&self) -> (Box<dyn OutboundPolicy>, Box<dyn InboundPolicy>) {
         let side = self.side;
         match self.policy {
--- a/crates/coordination/src/pressure/call_graph.rs
+++ b/crates/coordination/src/pressure/call_graph.rs
@@ -1,4 +1,5 @@
-//! Which services a local service calls while it runs, learned from its calls.
+//! Estimate of the services that a local service calls during a run, learned from
+//! the calls observed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,24 +7,25 @@
 
 use crate::inbound::InboundId;
 
-/// Share of a new run in what is known.
+/// Smallest weight of a new run in the moving averages.
 const GAIN: f64 = 0.02;
-/// Runs seen before anything is concluded.
+/// Number of runs observed before the needed services are inferred.
 const MIN_RUNS: u32 = 20;
-/// A service called in at least this share of the runs is needed.
+/// A service called in at least this share of the runs counts as needed.
 const NEEDED_SHARE: f64 = 0.9;
 
-/// What tells calls of one service apart, as far as their needs go: calls of one
-/// class from one service mostly ask for the same operation.
+/// Groups calls to one service that need the same downstream services: calls of one
+/// class from one calling service mostly request the same operation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallSource {
     /// The service called.
     pub service: ServiceName,
-    /// The service whose node calls; none for callers from outside.
+    /// The service of the calling node; none if that node has no local back end, as
+    /// for calls from outside.
     pub caller: Option<ServiceName>,
 }
 
-/// A run beside this node and the services it has called so far.
+/// An attempt on a local back end and the services it has called so far.
 #[derive(Debug)]
 struct ActiveRun {
     source: CallSource,
@@ -31,14 +33,14 @@
     called: BTreeSet<ServiceName>,
 }
 
-/// How often the runs for one source and class call each other service.
+/// Share of the runs for one source and class that call each other service.
 #[derive(Debug, Default)]
 struct CallShares {
     runs: u32,
     shares: BTreeMap<ServiceName, f64>,
 }
 
-/// The part of the call graph that starts at this node.
+/// The part of the call graph that starts at this node's local services.
 #[derive(Debug, Default)]
 pub struct CallGraph {
     active: BTreeMap<InboundId, ActiveRun>,
@@ -46,7 +48,7 @@
 }
 
 impl CallGraph {
-    /// An attempt has arrived that may run.
+    /// Records that an attempt has arrived that may run.
     pub fn arrived(&mut self, id: InboundId, source: CallSource, class: PriorityClass) {
         let run = ActiveRun {
             source,
@@ -56,17 +58,18 @@
         self.active.insert(id, run);
     }
 
-    /// A run calls another service.
+    /// Records that a run calls another service.
     pub fn called(&mut self, parent: InboundId, service: &ServiceName) {
         if let Some(run) = self.active.get_mut(&parent) {
             run.called.insert(service.clone());
         }
     }
 
-    /// A run completed. One that failed may have stopped before its later
-    /// calls, so only a successful one tells what was not needed. What it did
-    /// call, a failed one needed as well: a node that starts while a service
-    /// further down is overloaded may see hardly any other runs.
+    /// Records a completed run. A failed run may have stopped before its later
+    /// calls, so only a successful one shows which services were not needed. The
+    /// services that a failed run did call count as needed as well, because a node
+    /// that starts while a downstream service is overloaded may see hardly any
+    /// other runs.
     pub fn completed(&mut self, id: InboundId, success: bool) {
         let Some(run) = self.active.remove(&id) else {
             return;
@@ -79,13 +82,13 @@
         }
     }
 
-    /// An attempt is over without a completed run.
+    /// Removes an attempt that ended without a completed run.
     pub fn dropped(&mut self, id: InboundId) {
         self.active.remove(&id);
     }
 
-    /// Whether enough runs for calls of `class` from `source` were seen to tell what
-    /// they need.
+    /// Whether enough runs for calls of `class` from `source` were observed to infer
+    /// which services they need.
     pub fn is_known(&self, source: &CallSource, class: PriorityClass) -> bool {
         let shares = self.shares.get(&(source.clone(), class));
         shares.is_some_and(|shares| shares.runs >= MIN_RUNS)
@@ -119,7 +122,8 @@
         }
     }
 
-    /// Learns that these were needed, and nothing of others.
+    /// Raises the shares of the services in `called` and leaves those of all others
+    /// unchanged.
     fn learn_needed(&mut self, called: BTreeSet<ServiceName>) {
         let gain = self.next_gain();
         for service in called {
@@ -128,7 +132,8 @@
         }
     }
 
-    /// The share of the next run. While there are few, their plain mean is taken.
+    /// Weight of the next run in the averages. While few runs were observed, all of
+    /// them have the same weight.
     fn next_gain(&mut self) -> f64 {
         self.runs = self.runs.saturating_add(1);
         GAIN.max(1.0 / f64::from(self.runs))
--- a/crates/coordination/src/pressure/caller_index.rs
+++ b/crates/coordination/src/pressure/caller_index.rs
@@ -1,4 +1,5 @@
-//! Which service's node a call comes from.
+//! Index of the service that each node belongs to, used to identify the service
+//! that makes a call.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,7 +14,7 @@
 }
 
 impl CallerIndex {
-    /// The service whose back end stands beside `node`, if there is one.
+    /// The service whose back end is local to `node`, if there is one.
     pub fn service_of(&mut self, directory: &Arc<Directory>, node: NodeId) -> Option<ServiceName> {
         if !Arc::ptr_eq(&self.directory, directory) {
             self.rebuild(directory);
--- a/crates/coordination/src/pressure/downstream.rs
+++ b/crates/coordination/src/pressure/downstream.rs
@@ -1,18 +1,18 @@
-//! The lowest priority that the services needed further down admit.
+//! The lowest priority that the downstream services needed by a call admit.
 
 use lifthollow_protocol::AdmissionLevel;
 use lifthollow_state::{Priority, PriorityClass, ServiceName};
 
 use super::{CallGraph, CallSource};
 
-/// The level below which calls from `source` would fail further down, where
-/// `level_of` tells the level of a needed service.
+/// The level below which calls from `source` would fail in a downstream service;
+/// `level_of` returns the admission level of a needed service.
 ///
-/// Classes are looked at from the least important: the level enters a class
-/// only if all classes below it are refused as well, so that calls of a class
-/// that does not need an overloaded service are never refused for it. Classes that
-/// hardly any call belongs to are passed over: nothing is known of their needs, and
-/// they must not keep the level from the classes above them.
+/// Classes are examined from the least important one up. The level reaches into a
+/// class only if all classes below it are refused completely, so that calls of a
+/// class that does not need an overloaded service are never refused because of it.
+/// Classes with too few observed runs are skipped: which services they need is
+/// unknown, and they must not stop the level from reaching the classes above them.
 pub fn downstream_level(
     graph: &CallGraph,
     source: &CallSource,
@@ -34,11 +34,13 @@
     combined
 }
 
+/// The lowest level of a class.
 fn first_of(class: PriorityClass) -> AdmissionLevel {
     AdmissionLevel::of(Priority { class, user: 0 })
 }
 
-/// The first level of the next class.
+/// The level that follows the highest level of a class, which is the lowest level
+/// of the next class.
 fn beyond(class: PriorityClass) -> AdmissionLevel {
     let last = AdmissionLevel::of(Priority {
         class,
--- a/crates/coordination/src/pressure/mod.rs
+++ b/crates/coordination/src/pressure/mod.rs
@@ -1,9 +1,11 @@
-//! Pressure of services deep in the call graph, carried towards the entry.
+//! Backpressure: propagates the overload of services deep in the call graph to
+//! the services that call them, up to the entry.
 //!
-//! Every answer tells its caller's node the lowest priority that the server
+//! Every answer reports to the calling node the lowest priority that the server
 //! admits. A node learns which services its own service needs for nearly every
-//! request ([`call_graph`]); what those refuse it refuses as well, before work
-//! is done, and reports as its own level to its callers in turn.
+//! request ([`call_graph`]). It refuses the calls that those services would refuse
+//! before any work is done on them, and in turn reports that level to its own
+//! callers.
 
 pub mod call_graph;
 pub mod caller_index;
--- a/crates/coordination/src/retry/budget.rs
+++ b/crates/coordination/src/retry/budget.rs
@@ -1,10 +1,11 @@
-//! Retries of one edge of the call graph, as a share of its traffic.
+//! Retry budget of one edge of the call graph, which limits retries to a share of
+//! the edge's first attempts.
 
-/// What each first attempt adds.
+/// Number of retries that each first attempt adds to the budget.
 const DEPOSIT: f64 = 0.1;
-/// What is there at the start.
+/// Number of retries in a new budget.
 const INITIAL: f64 = 2.0;
-/// The most that can be saved up.
+/// Largest number of retries that the budget can hold.
 const MAX_BALANCE: f64 = 10.0;
 
 /// A token bucket filled by first attempts and emptied by retries.
@@ -20,12 +21,13 @@
 }
 
 impl RetryBudget {
-    /// A first attempt was sent.
+    /// Adds the share of a first attempt that was sent.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + DEPOSIT).min(MAX_BALANCE);
     }
 
-    /// Pays for one retry; says whether there was enough.
+    /// Takes one retry from the budget; returns false and takes nothing if less than
+    /// one is left.
     pub fn withdraw(&mut self) -> bool {
         if self.balance < 1.0 {
             return false;
--- a/crates/coordination/src/retry/entry.rs
+++ b/crates/coordination/src/retry/entry.rs
@@ -1,21 +1,23 @@
-//! The retries that a whole request starts with.
+//! The retry allowance of a whole request where it enters the fleet.
 
 use lifthollow_state::RetryAllowance;
 
-/// Granted to the first attempt of a client's request.
+/// Number of retries that the whole request tree of a client's first attempt may
+/// make.
 const ENTRY_ALLOWANCE: RetryAllowance = RetryAllowance(3);
 
-/// Which attempt of one request a client says it is making; the first is 1.
+/// Number of a client's attempt at one request, as stated by the client; the first
+/// is 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptNumber(pub u32);
 
 impl AttemptNumber {
-    /// The first attempt.
+    /// Number of the first attempt.
     pub const FIRST: AttemptNumber = AttemptNumber(1);
 }
 
-/// The allowance of a request that enters with a client's `attempt`. A client
-/// that repeats a request is its retry: nothing more is added below it.
+/// The retry allowance of a request that enters as a client's `attempt`. A repeat
+/// by the client is a retry itself, so no further retries are made below it.
 pub fn entry_allowance(attempt: AttemptNumber) -> RetryAllowance {
     if attempt <= AttemptNumber::FIRST {
         ENTRY_ALLOWANCE
--- a/crates/coordination/src/retry/mod.rs
+++ b/crates/coordination/src/retry/mod.rs
@@ -1,5 +1,5 @@
-//! Bounds on retries: [`ledger`] for one whole request, [`budget`] for one edge
-//! of the call graph, [`entry`] for what a request starts with.
+//! Bounds on retries: [`ledger`] for the tree of one request, [`budget`] for one
+//! edge of the call graph, [`entry`] for the allowance that a request starts with.
 
 pub mod budget;
 pub mod entry;
--- a/crates/coordination/tests/baseline.rs
+++ b/crates/coordination/tests/baseline.rs
@@ -1,4 +1,5 @@
-//! The baselines keep the promises that cost an ordinary mesh nothing.
+//! Tests that the baselines give the guarantees that an ordinary mesh gives at no
+//! cost.
 
 mod support;
 
@@ -17,7 +18,8 @@
     retry_after: Duration::ZERO,
 };
 
-/// What the caller is told when the attempts end one after the other as listed.
+/// The answer to the caller when its attempts end one after the other with the given
+/// results.
 fn answer_after(results: &[AttemptResult]) -> CallAnswer {
     let view = view((1, 0), 3, 0);
     let mut policy = FixedOutbound::static_limits();
@@ -34,7 +36,7 @@
     policy.handle(at(0), &view, arrived, &mut effects);
     for result in results {
         let Some(OutboundEffect::Dispatch { attempt, .. }) = effects.pop() else {
-            panic!("an attempt is sent before {result:?}");
+            panic!("no attempt was sent that could end with {result:?}");
         };
         let answer = AttemptAnswer {
             result: *result,
@@ -46,7 +48,7 @@
     }
     match effects.pop() {
         Some(OutboundEffect::Answer { answer, .. }) => answer,
-        other => panic!("not answered: {other:?}"),
+        other => panic!("the call was not answered; last effect: {other:?}"),
     }
 }
 
--- a/crates/coordination/tests/pressure.rs
+++ b/crates/coordination/tests/pressure.rs
@@ -1,4 +1,4 @@
-//! Pressure of a needed service is felt at the entry.
+//! Tests that the admission level of a needed service reaches the entry.
 
 mod support;
 
@@ -18,8 +18,8 @@
     }
 }
 
-/// A graph in which runs of `entry` of `class` call `deep` in `of_ten` of ten
-/// cases.
+/// Records 100 runs of service `entry` for calls of `class`, of which `of_ten` in ten
+/// call service `deep`.
 fn learn(graph: &mut CallGraph, class: PriorityClass, of_ten: u64) {
     for number in 0..100 {
         let id = InboundId(number);
--- a/crates/coordination/tests/retry_bound.rs
+++ b/crates/coordination/tests/retry_bound.rs
@@ -1,5 +1,6 @@
-//! The retries of one whole request never exceed what its entry granted,
-//! whatever the shape of its tree, the order of events and the failures.
+//! Tests that the retries of one whole request never exceed the allowance granted
+//! at its entry, whatever the shape of its tree, the order of events and the
+//! failures.
 
 mod support;
 
@@ -22,19 +23,21 @@
 use quickcheck::quickcheck;
 use support::{at, context, node, row};
 
-/// Services in a chain; each calls the next.
+/// Number of services in the chain; each calls the next.
 const DEPTH: usize = 5;
-/// Servers of each service.
+/// Number of servers of each service.
 const SERVERS: u16 = 3;
-/// Parallel calls of each run, at most.
+/// Largest number of parallel calls made by one run.
 const MAX_FAN_OUT: usize = 3;
+/// Index of the node at which requests enter.
 const ENTRY: usize = 0;
-/// When calls begin: by then a node that hears no peer has taken the platform's
-/// table into force.
+/// When calls begin: by then a node without contact to a peer applies the platform's
+/// table.
 const BEGIN_MILLIS: u64 = 3_000;
 const WAKE_INTERVAL_MILLIS: usize = 100;
 
-/// What can still happen.
+/// An event that can still happen; indexes of nodes are those of
+/// [`World::nodes`].
 enum Pending {
     Arrive {
         to: usize,
@@ -57,7 +60,8 @@
     },
 }
 
-/// All nodes of the chain, with every choice taken from a list of bytes.
+/// All nodes of the chain and the events between them; every choice is taken from a
+/// list of bytes.
 struct World {
     nodes: Vec<Node>,
     choices: Vec<u8>,
@@ -73,7 +77,8 @@
     ServiceName::new(&format!("service-{depth}"))
 }
 
-/// The entry node comes first, then the servers of each service.
+/// The index of a server's node: the entry node comes first, then the servers of
+/// each service in order.
 fn index_of(server: NodeId) -> usize {
     usize::from(server.address().port()) - 1
 }
@@ -136,7 +141,7 @@
         }
     }
 
-    /// The next choice below `bound`; zero once the list is used up.
+    /// The next choice, below `bound`; zero once the list is used up.
     fn choose(&mut self, bound: usize) -> usize {
         let choice = self.choices.get(self.cursor).copied().unwrap_or(0);
         self.cursor += 1;
@@ -215,7 +220,7 @@
         }
     }
 
-    /// The answer goes back with what is unspent, or is lost with it.
+    /// Sends the answer back with the unspent allowance, or loses both.
     fn answer(&mut self, at: usize, id: InboundId, result: AttemptResult) {
         let Some((to, attempt)) = self.callers.remove(&(at, id)) else {
             return;
@@ -273,7 +278,7 @@
         self.handle(to, NodeEvent::Inbound(event));
     }
 
-    /// A run makes its calls in parallel and may end before they do.
+    /// Starts a run, which makes its calls in parallel and may end before they do.
     fn run(&mut self, at: usize, id: InboundId) {
         let depth = depth_of(at) + 1;
         self.pending.push(Pending::Finish { at, id });
@@ -298,7 +303,7 @@
         self.handle(at, NodeEvent::Inbound(InboundEvent::RunClosed { id }));
     }
 
-    /// Runs one request and its client's repeats; returns the retries made.
+    /// Runs one request and its client's repeats; returns the number of retries made.
     fn retries(&mut self, client_attempts: u32) -> u32 {
         for attempt in 1..=client_attempts {
             self.call(ENTRY, 0, None, entry_allowance(AttemptNumber(attempt)));
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Values that the tests of the decisions share.
+//! Values and drivers shared by the tests of the outbound and inbound policies.
 #![allow(dead_code)]
 
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -46,8 +46,8 @@
     }
 }
 
-/// A view with `old` and `new` servers; old ones are nodes 1.., new ones 101..,
-/// each in a zone of its own.
+/// A view with `old` servers on the old side (nodes 1..) and `new` servers on the new
+/// side (nodes 101..), each in a zone of its own.
 pub fn view(weights: (u32, u32), old: u16, new: u16) -> View {
     let rows = [
         row(service(), Side::Old, weights.0),
@@ -82,7 +82,7 @@
     }
 }
 
-/// Drives an inbound policy and collects what it wants done.
+/// Passes events to an inbound policy and returns the actions it requests.
 pub struct InboundDriver {
     pub policy: AdmissionControl,
     pub view: View,
@@ -122,7 +122,7 @@
     }
 }
 
-/// Drives an outbound policy and collects what it wants done.
+/// Passes events to an outbound policy and returns the actions it requests.
 pub struct OutboundDriver {
     pub policy: Routing,
     pub view: View,
@@ -188,11 +188,11 @@
         effects
     }
 
-    /// A normal, repeatable call that must be sent somewhere.
+    /// Makes a normal, repeatable call, which must be sent to some server.
     pub fn send(&mut self, now: Timestamp) -> Sent {
         let deadline = now + Duration::from_secs(1);
         let effects = self.call(now, context(PriorityClass::Normal, 64, deadline), true);
-        sent(&effects).expect("the call is sent")
+        sent(&effects).expect("the call was not sent to any server")
     }
 }
 
@@ -238,7 +238,7 @@
     }
 }
 
-/// The reason an attempt was refused for.
+/// The reason for which attempt `wanted` was refused, if it was.
 pub fn refusal_of(effects: &[InboundEffect], wanted: InboundId) -> Option<RefusalReason> {
     effects.iter().find_map(|effect| match effect {
         InboundEffect::Answer {
