--- a/crates/coordination/src/baseline/fixed_inbound.rs
+++ b/crates/coordination/src/baseline/fixed_inbound.rs
@@ -12,7 +12,7 @@
 };
 
 /// Time after which refused callers are asked to call again.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+const REFUSAL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Inbound policy of the baselines.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
         }
     }
 
-    fn arrive(
+    fn handle_arrival(
         &mut self,
         view: &View,
         id: InboundId,
@@ -99,7 +99,7 @@
         }
     }
 
-    fn finish(&mut self, view: &View, id: InboundId, effects: &mut Vec<InboundEffect>) {
+    fn handle_run_closed(&mut self, view: &View, id: InboundId, effects: &mut Vec<InboundEffect>) {
         self.running.remove(&id);
         self.answered.remove(&id);
         while let Some((_, next)) = self.queue.front() {
@@ -112,7 +112,7 @@
         }
     }
 
-    fn cancel(&mut self, id: InboundId, effects: &mut Vec<InboundEffect>) {
+    fn cancel_attempt(&mut self, id: InboundId, effects: &mut Vec<InboundEffect>) {
         self.queue.retain(|(queued, _)| *queued != id);
         if self.limited && self.running.contains_key(&id) {
             effects.push(InboundEffect::CancelRun { id });
@@ -125,7 +125,7 @@
         id,
         result: AttemptResult::NotRun {
             reason,
-            retry_after: RETRY_AFTER,
+            retry_after: REFUSAL_RETRY_AFTER,
         },
     });
 }
@@ -140,13 +140,13 @@
     ) {
         match event {
             InboundEvent::AttemptArrived { id, attempt } => {
-                self.arrive(view, id, attempt, effects);
+                self.handle_arrival(view, id, attempt, effects);
             }
             InboundEvent::RunAnswered { id, result } => {
                 self.answer(id, attempt_result(result), effects);
             }
-            InboundEvent::RunClosed { id } => self.finish(view, id, effects),
-            InboundEvent::AttemptCancelled { id } => self.cancel(id, effects),
+            InboundEvent::RunClosed { id } => self.handle_run_closed(view, id, effects),
+            InboundEvent::AttemptCancelled { id } => self.cancel_attempt(id, effects),
             InboundEvent::Leave => self.leaving = true,
             InboundEvent::HealthReported { .. }
             | InboundEvent::AnswerRecorded { .. }
--- a/crates/coordination/src/baseline/fixed_outbound.rs
+++ b/crates/coordination/src/baseline/fixed_outbound.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    fn start(
+    fn start_call(
         &mut self,
         now: Timestamp,
         view: &View,
@@ -122,7 +122,7 @@
         });
     }
 
-    fn answered(
+    fn handle_answer(
         &mut self,
         now: Timestamp,
         view: &View,
@@ -223,13 +223,13 @@
         });
     }
 
-    fn close(&mut self, attempt: AttemptId) {
+    fn close_attempt(&mut self, attempt: AttemptId) {
         if let Some(id) = self.attempts.remove(&attempt) {
             self.calls.remove(&id);
         }
     }
 
-    fn cancel(&mut self, id: CallId, effects: &mut Vec<OutboundEffect>) {
+    fn cancel_call(&mut self, id: CallId, effects: &mut Vec<OutboundEffect>) {
         if let Some(state) = self.calls.remove(&id) {
             self.attempts.remove(&state.attempt);
             effects.push(OutboundEffect::Cancel {
@@ -240,7 +240,7 @@
 
     /// Cancels attempts that exceeded the hop's timeout, and retries or ends their
     /// calls.
-    fn expire(&mut self, now: Timestamp, view: &View, effects: &mut Vec<OutboundEffect>) {
+    fn expire_attempts(&mut self, now: Timestamp, view: &View, effects: &mut Vec<OutboundEffect>) {
         let expired: Vec<CallId> = self
             .calls
             .iter()
@@ -273,15 +273,15 @@
     ) {
         match event {
             OutboundEvent::CallArrived { call, description } => {
-                self.start(now, view, call, description, effects);
+                self.start_call(now, view, call, description, effects);
             }
             OutboundEvent::AttemptAnswered { attempt, answer } => {
-                self.answered(now, view, attempt, answer, effects);
+                self.handle_answer(now, view, attempt, answer, effects);
             }
-            OutboundEvent::AttemptClosed { attempt, .. } => self.close(attempt),
-            OutboundEvent::CallCancelled { call } => self.cancel(call, effects),
+            OutboundEvent::AttemptClosed { attempt, .. } => self.close_attempt(attempt),
+            OutboundEvent::CallCancelled { call } => self.cancel_call(call, effects),
             OutboundEvent::Wake | OutboundEvent::Resumed { .. } => {
-                self.expire(now, view, effects);
+                self.expire_attempts(now, view, effects);
             }
         }
     }
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -48,11 +48,11 @@
 /// A wake that is late by more than this means that the process was paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
 /// A node wakes at least this often, so that it notices pauses.
-const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_WAKE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Answer of a leaving node to new attempts; they may be retried on other servers at
 /// once.
-const LEAVING_ANSWER: AttemptResult = AttemptResult::NotRun {
+const LEAVING_REFUSAL: AttemptResult = AttemptResult::NotRun {
     reason: RefusalReason::Leaving,
     retry_after: Duration::ZERO,
 };
@@ -71,7 +71,7 @@
 impl Node {
     /// Creates a node with the policies that its settings name and no other state.
     pub fn new(settings: NodeSettings) -> Self {
-        let (outbound, inbound) = settings.decisions();
+        let (outbound, inbound) = settings.create_policies();
         Node::with_policies(settings, outbound, inbound)
     }
 
@@ -83,7 +83,7 @@
         inbound: Box<dyn InboundPolicy>,
     ) -> Self {
         Node {
-            fleet: Fleet::new(settings.for_fleet()),
+            fleet: Fleet::new(settings.fleet_settings()),
             settings,
             outbound,
             inbound,
@@ -178,14 +178,14 @@
             self.outbound.next_wake(),
             self.inbound.next_wake(),
             self.claims.as_ref().and_then(ClaimGate::next_wake),
-            Some(now + HEARTBEAT_INTERVAL),
+            Some(now + MAX_WAKE_INTERVAL),
         ];
         wakes.into_iter().flatten().min().unwrap_or(now)
     }
 
     /// Handles one event and appends the requested actions to `effects`.
     pub fn handle(&mut self, now: Timestamp, event: NodeEvent, effects: &mut Vec<NodeEffect>) {
-        self.notice_pause(now, effects);
+        self.detect_pause(now, effects);
         match event {
             NodeEvent::Outbound(event) => self.handle_outbound(now, event, effects),
             NodeEvent::Inbound(event) => self.handle_inbound(now, event, effects),
@@ -196,11 +196,11 @@
 
     /// Detects pauses of the process and reports them to the policies. A long gap
     /// between events means that the process did not run meanwhile, because it wakes
-    /// at least every [`HEARTBEAT_INTERVAL`].
-    fn notice_pause(&mut self, now: Timestamp, effects: &mut Vec<NodeEffect>) {
+    /// at least every [`MAX_WAKE_INTERVAL`].
+    fn detect_pause(&mut self, now: Timestamp, effects: &mut Vec<NodeEffect>) {
         let previous = self.last_handled.replace(now);
         let gap = previous.map_or(Duration::ZERO, |previous| now - previous);
-        if gap <= HEARTBEAT_INTERVAL + PAUSE_THRESHOLD {
+        if gap <= MAX_WAKE_INTERVAL + PAUSE_THRESHOLD {
             return;
         }
         let paused_for = gap;
@@ -212,8 +212,8 @@
         self.handle_fleet(now, FleetEvent::Wake, effects);
         self.handle_inbound(now, InboundEvent::Wake, effects);
         self.handle_outbound(now, OutboundEvent::Wake, effects);
-        let claimed = self.claims.as_mut().map(|claims| claims.wake(now));
-        self.carry_out_claims(now, claimed, effects);
+        let gate_effects = self.claims.as_mut().map(|claims| claims.wake(now));
+        self.carry_out_gate_effects(now, gate_effects, effects);
     }
 
     fn handle_outbound(
@@ -247,7 +247,7 @@
         {
             return self.refuse_while_leaving(id, &event, effects);
         }
-        self.decide_inbound(now, event, effects);
+        self.process_inbound(now, event, effects);
     }
 
     fn refuse_while_leaving(
@@ -256,7 +256,7 @@
         event: &InboundEvent,
         effects: &mut Vec<NodeEffect>,
     ) {
-        let result = LEAVING_ANSWER;
+        let result = LEAVING_REFUSAL;
         let refusal = InboundEffect::Answer { id, result };
         self.request_tree
             .before_inbound(&self.fleet.view().directory, event);
@@ -265,26 +265,31 @@
         effects.push(NodeEffect::Inbound(refusal));
     }
 
-    fn decide_inbound(
+    fn process_inbound(
         &mut self,
         now: Timestamp,
         event: InboundEvent,
         effects: &mut Vec<NodeEffect>,
     ) {
-        let claimed = self
+        let gate_effects = self
             .claims
             .as_mut()
             .map(|claims| claims.observe(now, &event));
         self.request_tree
             .before_inbound(&self.fleet.view().directory, &event);
-        self.pass_on_pressure(now, &event);
-        self.ask_inbound(now, event, effects);
-        self.carry_out_claims(now, claimed, effects);
+        self.apply_downstream_level(now, &event);
+        self.run_inbound_policy(now, event, effects);
+        self.carry_out_gate_effects(now, gate_effects, effects);
     }
 
     /// Passes an event to the inbound policy. With claims, the runs that the policy
     /// requests are claimed first.
-    fn ask_inbound(&mut self, now: Timestamp, event: InboundEvent, effects: &mut Vec<NodeEffect>) {
+    fn run_inbound_policy(
+        &mut self,
+        now: Timestamp,
+        event: InboundEvent,
+        effects: &mut Vec<NodeEffect>,
+    ) {
         let mut inbound_effects = Vec::new();
         self.inbound
             .handle(now, self.fleet.view(), event, &mut inbound_effects);
@@ -293,20 +298,20 @@
             match self.claims.as_mut() {
                 None => effects.push(NodeEffect::Inbound(effect)),
                 Some(claims) => {
-                    let claimed = claims.filter(now, effect);
-                    self.carry_out_claims(now, Some(claimed), effects);
+                    let gate_effects = claims.filter(now, effect);
+                    self.carry_out_gate_effects(now, Some(gate_effects), effects);
                 }
             }
         }
     }
 
-    fn carry_out_claims(
+    fn carry_out_gate_effects(
         &mut self,
         now: Timestamp,
-        claimed: Option<Vec<GateEffect>>,
+        gate_effects: Option<Vec<GateEffect>>,
         effects: &mut Vec<NodeEffect>,
     ) {
-        for effect in claimed.into_iter().flatten() {
+        for effect in gate_effects.into_iter().flatten() {
             match effect {
                 GateEffect::Send(Envelope { to, message }) => {
                     let message = ControlMessage::Claim(message);
@@ -318,7 +323,7 @@
                     effects.push(NodeEffect::Inbound(effect));
                 }
                 GateEffect::NotRun { id } => {
-                    self.ask_inbound(now, InboundEvent::RunClosed { id }, effects);
+                    self.run_inbound_policy(now, InboundEvent::RunClosed { id }, effects);
                 }
             }
         }
@@ -327,7 +332,7 @@
     /// Sets the admission level of the needed downstream services on the inbound
     /// policy before it decides on an attempt, so that calls which those services
     /// would refuse are refused here as well.
-    fn pass_on_pressure(&mut self, now: Timestamp, event: &InboundEvent) {
+    fn apply_downstream_level(&mut self, now: Timestamp, event: &InboundEvent) {
         let InboundEvent::AttemptArrived { id, attempt } = event else {
             return;
         };
@@ -352,8 +357,8 @@
         } = event
         {
             let claims = self.claims.as_mut();
-            let claimed = claims.map(|claims| claims.receive(now, from, message));
-            return self.carry_out_claims(now, claimed, effects);
+            let gate_effects = claims.map(|claims| claims.receive(now, from, message));
+            return self.carry_out_gate_effects(now, gate_effects, effects);
         }
         let mut fleet_effects = Vec::new();
         self.fleet.handle(now, event, &mut fleet_effects);
--- a/crates/coordination/src/node/settings.rs
+++ b/crates/coordination/src/node/settings.rs
@@ -32,7 +32,7 @@
 
 impl NodeSettings {
     /// The settings of the node's [`crate::fleet::Fleet`].
-    pub(super) fn for_fleet(&self) -> FleetSettings {
+    pub(super) fn fleet_settings(&self) -> FleetSettings {
         FleetSettings {
             node: self.node,
             incarnation: self.incarnation,
@@ -45,7 +45,7 @@
     }
 
     /// Creates the outbound and inbound policies that these settings name.
-    pub(super) fn decisions(&self) -> (Box<dyn OutboundPolicy>, Box<dyn InboundPolicy>) {
+    pub(super) fn create_policies(&self) -> (Box<dyn OutboundPolicy>, Box<dyn InboundPolicy>) {
         let side = self.side;
         match self.policy {
             PolicyKind::Passthrough => (
--- a/crates/coordination/src/pressure/call_graph.rs
+++ b/crates/coordination/src/pressure/call_graph.rs
@@ -8,7 +8,7 @@
 use crate::inbound::InboundId;
 
 /// Smallest weight of a new run in the moving averages.
-const GAIN: f64 = 0.02;
+const MIN_SAMPLE_WEIGHT: f64 = 0.02;
 /// Number of runs observed before the needed services are inferred.
 const MIN_RUNS: u32 = 20;
 /// A service called in at least this share of the runs counts as needed.
@@ -76,9 +76,9 @@
         };
         let shares = self.shares.entry((run.source, run.class)).or_default();
         if success {
-            shares.learn(run.called);
+            shares.record_successful_run(run.called);
         } else if !run.called.is_empty() {
-            shares.learn_needed(run.called);
+            shares.record_called_services(run.called);
         }
     }
 
@@ -112,30 +112,30 @@
 }
 
 impl CallShares {
-    fn learn(&mut self, called: BTreeSet<ServiceName>) {
-        let gain = self.next_gain();
+    fn record_successful_run(&mut self, called: BTreeSet<ServiceName>) {
+        let weight = self.next_sample_weight();
         for share in self.shares.values_mut() {
-            *share -= *share * gain;
+            *share -= *share * weight;
         }
         for service in called {
-            *self.shares.entry(service).or_insert(0.0) += gain;
+            *self.shares.entry(service).or_insert(0.0) += weight;
         }
     }
 
     /// Raises the shares of the services in `called` and leaves those of all others
     /// unchanged.
-    fn learn_needed(&mut self, called: BTreeSet<ServiceName>) {
-        let gain = self.next_gain();
+    fn record_called_services(&mut self, called: BTreeSet<ServiceName>) {
+        let weight = self.next_sample_weight();
         for service in called {
             let share = self.shares.entry(service).or_insert(0.0);
-            *share += (1.0 - *share) * gain;
+            *share += (1.0 - *share) * weight;
         }
     }
 
     /// Weight of the next run in the averages. While few runs were observed, all of
     /// them have the same weight.
-    fn next_gain(&mut self) -> f64 {
+    fn next_sample_weight(&mut self) -> f64 {
         self.runs = self.runs.saturating_add(1);
-        GAIN.max(1.0 / f64::from(self.runs))
+        MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.runs))
     }
 }
--- a/crates/coordination/src/pressure/downstream.rs
+++ b/crates/coordination/src/pressure/downstream.rs
@@ -23,11 +23,11 @@
     for class in PriorityClass::ALL.into_iter().filter(known) {
         let needed = graph.needed(source, class);
         let level = needed.map(&level_of).max().unwrap_or(AdmissionLevel::OPEN);
-        if level <= first_of(class) {
+        if level <= first_level_of(class) {
             return combined;
         }
-        combined = level.min(beyond(class));
-        if level < beyond(class) {
+        combined = level.min(first_level_above(class));
+        if level < first_level_above(class) {
             return combined;
         }
     }
@@ -35,13 +35,13 @@
 }
 
 /// The lowest level of a class.
-fn first_of(class: PriorityClass) -> AdmissionLevel {
+fn first_level_of(class: PriorityClass) -> AdmissionLevel {
     AdmissionLevel::of(Priority { class, user: 0 })
 }
 
 /// The level that follows the highest level of a class, which is the lowest level
 /// of the next class.
-fn beyond(class: PriorityClass) -> AdmissionLevel {
+fn first_level_above(class: PriorityClass) -> AdmissionLevel {
     let last = AdmissionLevel::of(Priority {
         class,
         user: u8::MAX,
--- a/crates/coordination/src/request_tree.rs
+++ b/crates/coordination/src/request_tree.rs
@@ -95,7 +95,7 @@
                 continue;
             };
             if let Some(parent) = self.parents.remove(call) {
-                self.ledger.give_back(parent, *unspent);
+                self.ledger.return_unspent(parent, *unspent);
             }
         }
     }
--- a/crates/coordination/src/retry/budget.rs
+++ b/crates/coordination/src/retry/budget.rs
@@ -2,9 +2,9 @@
 //! the edge's first attempts.
 
 /// Number of retries that each first attempt adds to the budget.
-const DEPOSIT: f64 = 0.1;
+const DEPOSIT_PER_ATTEMPT: f64 = 0.1;
 /// Number of retries in a new budget.
-const INITIAL: f64 = 2.0;
+const INITIAL_BALANCE: f64 = 2.0;
 /// Largest number of retries that the budget can hold.
 const MAX_BALANCE: f64 = 10.0;
 
@@ -16,14 +16,16 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { balance: INITIAL }
+        RetryBudget {
+            balance: INITIAL_BALANCE,
+        }
     }
 }
 
 impl RetryBudget {
     /// Adds the share of a first attempt that was sent.
     pub fn deposit(&mut self) {
-        self.balance = (self.balance + DEPOSIT).min(MAX_BALANCE);
+        self.balance = (self.balance + DEPOSIT_PER_ATTEMPT).min(MAX_BALANCE);
     }
 
     /// Takes one retry from the budget; returns false and takes nothing if less than
--- a/crates/coordination/src/retry/ledger.rs
+++ b/crates/coordination/src/retry/ledger.rs
@@ -15,37 +15,37 @@
 /// Remaining retry allowance of each attempt in progress.
 #[derive(Debug, Default)]
 pub struct AllowanceLedger {
-    left: BTreeMap<InboundId, u8>,
+    remaining: BTreeMap<InboundId, u8>,
 }
 
 impl AllowanceLedger {
     /// Records the allowance with which an attempt arrived.
     pub fn open(&mut self, id: InboundId, allowance: RetryAllowance) {
-        self.left.insert(id, allowance.0);
+        self.remaining.insert(id, allowance.0);
     }
 
     /// Lends a share of an attempt's remaining allowance to a call nested below it;
     /// zero if the attempt has been answered already.
     pub fn lend(&mut self, parent: InboundId) -> RetryAllowance {
-        let Some(left) = self.left.get_mut(&parent) else {
+        let Some(remaining) = self.remaining.get_mut(&parent) else {
             return RetryAllowance(0);
         };
-        let share = left.div_ceil(2);
-        *left -= share;
+        let share = remaining.div_ceil(2);
+        *remaining -= share;
         RetryAllowance(share)
     }
 
     /// Adds back the allowance that a nested call did not spend; it is dropped if the
     /// attempt has been answered already.
-    pub fn give_back(&mut self, parent: InboundId, unspent: RetryAllowance) {
-        if let Some(left) = self.left.get_mut(&parent) {
-            *left = left.saturating_add(unspent.0);
+    pub fn return_unspent(&mut self, parent: InboundId, unspent: RetryAllowance) {
+        if let Some(remaining) = self.remaining.get_mut(&parent) {
+            *remaining = remaining.saturating_add(unspent.0);
         }
     }
 
     /// Closes the account of an attempt that is being answered, and returns its
     /// remaining allowance, which is sent back with the answer.
     pub fn settle(&mut self, id: InboundId) -> RetryAllowance {
-        RetryAllowance(self.left.remove(&id).unwrap_or(0))
+        RetryAllowance(self.remaining.remove(&id).unwrap_or(0))
     }
 }
--- a/crates/coordination/tests/admission.rs
+++ b/crates/coordination/tests/admission.rs
@@ -9,7 +9,7 @@
 use lifthollow_coordination::inbound::{RunResult, admission_threshold};
 use lifthollow_protocol::{AdmissionLevel, RefusalReason};
 use lifthollow_state::{PriorityClass, Timestamp};
-use support::{InboundDriver, LIMIT, MAX_QUEUE, at, context, is_run, refusal_of, service};
+use support::{InboundDriver, LIMIT, MAX_QUEUE, at, context, is_run, refusal_reason, service};
 
 const SUCCESS: RunResult = RunResult::Completed { success: true };
 
@@ -50,15 +50,15 @@
         );
     }
     let (critical, effects) = driver.arrive(at(1), context(PriorityClass::Critical, 0, deadline));
-    assert_eq!(refusal_of(&effects, critical), None);
+    assert_eq!(refusal_reason(&effects, critical), None);
     assert_eq!(
-        refusal_of(&effects, queued[0]),
+        refusal_reason(&effects, queued[0]),
         Some(RefusalReason::Overloaded)
     );
     let (sheddable, effects) =
         driver.arrive(at(1), context(PriorityClass::Sheddable, 127, deadline));
     assert_eq!(
-        refusal_of(&effects, sheddable),
+        refusal_reason(&effects, sheddable),
         Some(RefusalReason::Overloaded)
     );
 }
@@ -73,7 +73,7 @@
     }
     let (refused, effects) = driver.arrive(at(1), context(PriorityClass::Critical, 0, deadline));
     assert_eq!(
-        refusal_of(&effects, refused),
+        refusal_reason(&effects, refused),
         Some(RefusalReason::QueueFull)
     );
     for id in running {
@@ -116,7 +116,7 @@
     let running = fill_slots(&mut driver, at(100));
     let (unfinishable, effects) =
         driver.arrive(at(100), context(PriorityClass::Normal, 64, at(260)));
-    assert_eq!(refusal_of(&effects, unfinishable), None);
+    assert_eq!(refusal_reason(&effects, unfinishable), None);
     let due = driver
         .policy
         .next_wake()
@@ -127,7 +127,7 @@
     );
     let effects = driver.event(due, InboundEvent::Wake);
     let reason = Some(RefusalReason::DeadlineTooShort);
-    assert_eq!(refusal_of(&effects, unfinishable), reason);
+    assert_eq!(refusal_reason(&effects, unfinishable), reason);
     assert!(!is_run(
         &complete_run(&mut driver, at(201), running[0]),
         unfinishable
@@ -186,7 +186,10 @@
     let (waiting, _) = driver.arrive(at(0), context(PriorityClass::Normal, 64, at(60_000)));
     let paused_for = Duration::from_secs(5);
     let effects = driver.event(at(5000), InboundEvent::Resumed { paused_for });
-    assert_eq!(refusal_of(&effects, expired), Some(RefusalReason::Paused));
+    assert_eq!(
+        refusal_reason(&effects, expired),
+        Some(RefusalReason::Paused)
+    );
     let effects = complete_run(&mut driver, at(5000), running[0]);
     assert!(
         !is_run(&effects, waiting),
@@ -203,9 +206,12 @@
     let running = fill_slots(&mut driver, at(0));
     let (queued, _) = driver.arrive(at(0), context(PriorityClass::Critical, 0, at(9000)));
     let effects = driver.event(at(1), InboundEvent::Leave);
-    assert_eq!(refusal_of(&effects, queued), Some(RefusalReason::Leaving));
+    assert_eq!(
+        refusal_reason(&effects, queued),
+        Some(RefusalReason::Leaving)
+    );
     let (late, effects) = driver.arrive(at(2), context(PriorityClass::Critical, 0, at(9000)));
-    assert_eq!(refusal_of(&effects, late), Some(RefusalReason::Leaving));
+    assert_eq!(refusal_reason(&effects, late), Some(RefusalReason::Leaving));
     let effects = complete_run(&mut driver, at(3), running[0]);
     assert!(matches!(effects[0], InboundEffect::Answer { id, .. } if id == running[0]));
 }
--- a/crates/coordination/tests/baseline.rs
+++ b/crates/coordination/tests/baseline.rs
@@ -53,13 +53,13 @@
 }
 
 #[test]
-fn refusal_after_an_attempt_that_ran_is_not_called_not_run() {
+fn refusal_after_an_attempt_that_ran_is_not_answered_as_not_run() {
     let answer = answer_after(&[FAILED, REFUSED, REFUSED]);
     assert!(matches!(answer, CallAnswer::Unknown { .. }), "{answer:?}");
 }
 
 #[test]
-fn call_of_which_every_attempt_was_refused_is_not_run() {
+fn call_of_which_every_attempt_was_refused_is_answered_as_not_run() {
     let answer = answer_after(&[REFUSED, REFUSED, REFUSED]);
     assert!(matches!(answer, CallAnswer::NotRun { .. }), "{answer:?}");
 }
--- a/crates/coordination/tests/pressure.rs
+++ b/crates/coordination/tests/pressure.rs
@@ -20,7 +20,7 @@
 
 /// Records 100 runs of service `entry` for calls of `class`, of which `of_ten` in ten
 /// call service `deep`.
-fn learn(graph: &mut CallGraph, class: PriorityClass, of_ten: u64) {
+fn record_runs(graph: &mut CallGraph, class: PriorityClass, of_ten: u64) {
     for number in 0..100 {
         let id = InboundId(number);
         graph.arrived(id, source(None), class);
@@ -36,10 +36,10 @@
 }
 
 #[test]
-fn level_of_a_service_needed_by_all_calls_is_taken_over() {
+fn level_of_a_service_needed_by_all_calls_applies_at_the_entry() {
     let mut graph = CallGraph::default();
     for class in PriorityClass::ALL {
-        learn(&mut graph, class, 10);
+        record_runs(&mut graph, class, 10);
     }
     for deep in [
         level(PriorityClass::Normal, 40),
@@ -52,27 +52,27 @@
 #[test]
 fn calls_that_seldom_need_the_service_are_not_refused_for_it() {
     let mut graph = CallGraph::default();
-    learn(&mut graph, PriorityClass::Sheddable, 5);
-    learn(&mut graph, PriorityClass::Normal, 10);
+    record_runs(&mut graph, PriorityClass::Sheddable, 5);
+    record_runs(&mut graph, PriorityClass::Normal, 10);
     let deep = level(PriorityClass::Normal, 40);
     assert_eq!(level_at_entry(&graph, deep), AdmissionLevel::OPEN);
 }
 
 #[test]
-fn class_that_does_not_need_the_service_ends_the_pressure() {
+fn class_that_does_not_need_the_service_limits_the_level() {
     let mut graph = CallGraph::default();
-    learn(&mut graph, PriorityClass::Sheddable, 10);
-    learn(&mut graph, PriorityClass::Normal, 0);
-    learn(&mut graph, PriorityClass::Critical, 10);
+    record_runs(&mut graph, PriorityClass::Sheddable, 10);
+    record_runs(&mut graph, PriorityClass::Normal, 0);
+    record_runs(&mut graph, PriorityClass::Critical, 10);
     let deep = level(PriorityClass::Critical, 40);
     let first_normal = level(PriorityClass::Normal, 0);
     assert_eq!(level_at_entry(&graph, deep), first_normal);
 }
 
 #[test]
-fn classes_that_never_come_do_not_keep_the_pressure_from_others() {
+fn classes_without_calls_do_not_stop_the_level_from_reaching_others() {
     let mut graph = CallGraph::default();
-    learn(&mut graph, PriorityClass::Critical, 10);
+    record_runs(&mut graph, PriorityClass::Critical, 10);
     let deep = level(PriorityClass::Critical, 40);
     assert_eq!(level_at_entry(&graph, deep), deep);
     let below = level(PriorityClass::Sheddable, 40);
@@ -80,18 +80,18 @@
 }
 
 #[test]
-fn a_class_that_never_comes_is_not_refused_above_the_last_that_does() {
+fn class_without_calls_is_not_refused_above_the_last_class_with_calls() {
     let mut graph = CallGraph::default();
-    learn(&mut graph, PriorityClass::Sheddable, 10);
+    record_runs(&mut graph, PriorityClass::Sheddable, 10);
     let deep = level(PriorityClass::Critical, 40);
     let first_normal = level(PriorityClass::Normal, 0);
     assert_eq!(level_at_entry(&graph, deep), first_normal);
 }
 
 #[test]
-fn calls_from_another_service_do_not_feel_it() {
+fn calls_from_another_service_are_not_refused() {
     let mut graph = CallGraph::default();
-    learn(&mut graph, PriorityClass::Sheddable, 10);
+    record_runs(&mut graph, PriorityClass::Sheddable, 10);
     let deep = level(PriorityClass::Normal, 0);
     assert_eq!(level_at_entry(&graph, deep), deep);
     let other = downstream_level(&graph, &source(Some("other")), |_| deep);
--- a/crates/coordination/tests/retry_bound.rs
+++ b/crates/coordination/tests/retry_bound.rs
@@ -30,26 +30,26 @@
 /// Largest number of parallel calls made by one run.
 const MAX_FAN_OUT: usize = 3;
 /// Index of the node at which requests enter.
-const ENTRY: usize = 0;
+const ENTRY_NODE: usize = 0;
 /// When calls begin: by then a node without contact to a peer applies the platform's
 /// table.
-const BEGIN_MILLIS: u64 = 3_000;
+const START_MILLIS: u64 = 3_000;
 const WAKE_INTERVAL_MILLIS: usize = 100;
 
 /// An event that can still happen; indexes of nodes are those of
-/// [`World::nodes`].
+/// [`ServiceChain::nodes`].
 enum Pending {
-    Arrive {
+    AttemptArrives {
         to: usize,
         from: usize,
         attempt: AttemptId,
         message: Attempt,
     },
-    Run {
+    StartRun {
         at: usize,
         id: InboundId,
     },
-    Finish {
+    FinishRun {
         at: usize,
         id: InboundId,
     },
@@ -62,7 +62,7 @@
 
 /// All nodes of the chain and the events between them; every choice is taken from a
 /// list of bytes.
-struct World {
+struct ServiceChain {
     nodes: Vec<Node>,
     choices: Vec<u8>,
     cursor: usize,
@@ -121,15 +121,15 @@
     made.handle(at(0), NodeEvent::Fleet(fetched), &mut effects);
     let listed = FleetEvent::MachinesFetched(Ok(machines.to_vec()));
     made.handle(at(0), NodeEvent::Fleet(listed), &mut effects);
-    for millis in (0..BEGIN_MILLIS).step_by(WAKE_INTERVAL_MILLIS) {
+    for millis in (0..START_MILLIS).step_by(WAKE_INTERVAL_MILLIS) {
         made.handle(at(millis), NodeEvent::Wake, &mut effects);
     }
     made
 }
 
-impl World {
+impl ServiceChain {
     fn new(choices: Vec<u8>) -> Self {
-        World {
+        ServiceChain {
             nodes: make_nodes(),
             choices,
             cursor: 0,
@@ -148,16 +148,16 @@
         usize::from(choice) % bound
     }
 
-    fn call(
+    fn make_call(
         &mut self,
         from: usize,
         depth: usize,
         parent: Option<InboundId>,
-        granted: RetryAllowance,
+        allowance: RetryAllowance,
     ) {
         self.next_id += 1;
-        let mut context = context(PriorityClass::Normal, 64, at(BEGIN_MILLIS + 1000));
-        context.allowance = granted;
+        let mut context = context(PriorityClass::Normal, 64, at(START_MILLIS + 1000));
+        context.allowance = allowance;
         let description = Call {
             service: service_at(depth),
             context,
@@ -172,17 +172,17 @@
 
     fn handle(&mut self, index: usize, event: NodeEvent) {
         let mut effects = Vec::new();
-        self.nodes[index].handle(at(BEGIN_MILLIS), event, &mut effects);
+        self.nodes[index].handle(at(START_MILLIS), event, &mut effects);
         for effect in effects {
             match effect {
-                NodeEffect::Outbound(effect) => self.outbound_effect(index, effect),
-                NodeEffect::Inbound(effect) => self.inbound_effect(index, effect),
+                NodeEffect::Outbound(effect) => self.carry_out_outbound(index, effect),
+                NodeEffect::Inbound(effect) => self.carry_out_inbound(index, effect),
                 NodeEffect::Fleet(_) => {}
             }
         }
     }
 
-    fn outbound_effect(&mut self, from: usize, effect: OutboundEffect) {
+    fn carry_out_outbound(&mut self, from: usize, effect: OutboundEffect) {
         if let OutboundEffect::Dispatch {
             call,
             attempt,
@@ -201,7 +201,7 @@
                 from: node(from as u16 + 1),
                 body_digest: 0,
             };
-            self.pending.push(Pending::Arrive {
+            self.pending.push(Pending::AttemptArrives {
                 to,
                 from,
                 attempt,
@@ -210,18 +210,18 @@
         }
     }
 
-    fn inbound_effect(&mut self, at: usize, effect: InboundEffect) {
+    fn carry_out_inbound(&mut self, at: usize, effect: InboundEffect) {
         match effect {
             InboundEffect::Run { id, .. } | InboundEffect::RunClaimed { id, .. } => {
-                self.pending.push(Pending::Run { at, id });
+                self.pending.push(Pending::StartRun { at, id });
             }
-            InboundEffect::Answer { id, result } => self.answer(at, id, result),
+            InboundEffect::Answer { id, result } => self.send_answer(at, id, result),
             InboundEffect::CancelRun { .. } | InboundEffect::Replay { .. } => {}
         }
     }
 
     /// Sends the answer back with the unspent allowance, or loses both.
-    fn answer(&mut self, at: usize, id: InboundId, result: AttemptResult) {
+    fn send_answer(&mut self, at: usize, id: InboundId, result: AttemptResult) {
         let Some((to, attempt)) = self.callers.remove(&(at, id)) else {
             return;
         };
@@ -245,17 +245,17 @@
         });
     }
 
-    fn step(&mut self) {
+    fn handle_next(&mut self) {
         let next = self.choose(self.pending.len());
         match self.pending.swap_remove(next) {
-            Pending::Arrive {
+            Pending::AttemptArrives {
                 to,
                 from,
                 attempt,
                 message,
             } => self.arrive(to, from, attempt, message),
-            Pending::Run { at, id } => self.run(at, id),
-            Pending::Finish { at, id } => self.finish(at, id),
+            Pending::StartRun { at, id } => self.start_run(at, id),
+            Pending::FinishRun { at, id } => self.finish_run(at, id),
             Pending::Answer {
                 to,
                 attempt,
@@ -279,17 +279,17 @@
     }
 
     /// Starts a run, which makes its calls in parallel and may end before they do.
-    fn run(&mut self, at: usize, id: InboundId) {
+    fn start_run(&mut self, at: usize, id: InboundId) {
         let depth = depth_of(at) + 1;
-        self.pending.push(Pending::Finish { at, id });
+        self.pending.push(Pending::FinishRun { at, id });
         if depth < DEPTH {
             for _ in 0..self.choose(MAX_FAN_OUT + 1) {
-                self.call(at, depth, Some(id), RetryAllowance(9));
+                self.make_call(at, depth, Some(id), RetryAllowance(9));
             }
         }
     }
 
-    fn finish(&mut self, at: usize, id: InboundId) {
+    fn finish_run(&mut self, at: usize, id: InboundId) {
         let result = match self.choose(4) {
             0 => RunResult::Lost,
             1 => RunResult::Refused {
@@ -304,13 +304,13 @@
     }
 
     /// Runs one request and its client's repeats; returns the number of retries made.
-    fn retries(&mut self, client_attempts: u32) -> u32 {
+    fn run_request(&mut self, client_attempts: u32) -> u32 {
         for attempt in 1..=client_attempts {
-            self.call(ENTRY, 0, None, entry_allowance(AttemptNumber(attempt)));
+            self.make_call(ENTRY_NODE, 0, None, entry_allowance(AttemptNumber(attempt)));
         }
         let mut steps = 0;
         while !self.pending.is_empty() && steps < 5000 {
-            self.step();
+            self.handle_next();
             steps += 1;
         }
         self.retries
@@ -318,19 +318,19 @@
 }
 
 quickcheck! {
-    fn retries_never_exceed_the_grant(choices: Vec<u8>, client_attempts: u8) -> bool {
-        let mut world = World::new(choices);
-        world.retries(1 + u32::from(client_attempts % 3)) <= 3
+    fn retries_never_exceed_the_entry_allowance(choices: Vec<u8>, client_attempts: u8) -> bool {
+        let mut chain = ServiceChain::new(choices);
+        chain.run_request(1 + u32::from(client_attempts % 3)) <= 3
     }
 }
 
 #[test]
-fn failures_are_retried_at_all() {
-    let most = (0..200_u32).map(|seed| {
+fn failures_are_retried_up_to_the_entry_allowance() {
+    let retries_by_seed = (0..200_u32).map(|seed| {
         let choices = (0..200_u32)
             .map(|step| ((seed * 7919 + step * 104_729) >> 3) as u8)
             .collect();
-        World::new(choices).retries(1)
+        ServiceChain::new(choices).run_request(1)
     });
-    assert_eq!(most.max(), Some(3));
+    assert_eq!(retries_by_seed.max(), Some(3));
 }
--- a/crates/coordination/tests/routing.rs
+++ b/crates/coordination/tests/routing.rs
@@ -10,7 +10,9 @@
 use lifthollow_coordination::outbound::{CallAnswer, OutboundEffect, OutboundEvent};
 use lifthollow_protocol::{AdmissionLevel, AttemptResult, RefusalReason};
 use lifthollow_state::{NodeId, Priority, PriorityClass};
-use support::{OutboundDriver, SUCCESS, answered, at, context, load, node, refused, sent, view};
+use support::{
+    OutboundDriver, SUCCESS, at, call_answer, context, load, node, refused, sent_attempt, view,
+};
 
 const OPEN: AdmissionLevel = AdmissionLevel::OPEN;
 
@@ -87,7 +89,7 @@
         let now = at(2600 + number);
         let critical = context(PriorityClass::Critical, 64, now + Duration::from_secs(1));
         let effects = driver.call(now, critical, false);
-        let attempt = sent(&effects).expect("sent");
+        let attempt = sent_attempt(&effects).expect("sent");
         assert_ne!(attempt.server, unresponsive_server);
         driver.answer(now, attempt.attempt, SUCCESS, Some(load(OPEN)));
     }
@@ -103,8 +105,8 @@
         driver.event(now, OutboundEvent::Wake);
         let deadline = now + Duration::from_secs(1);
         let effects = driver.call(now, context(PriorityClass::Normal, 64, deadline), false);
-        let attempt =
-            sent(&effects).expect("the call was not sent although no server may be ejected");
+        let attempt = sent_attempt(&effects)
+            .expect("the call was not sent although no server may be ejected");
         if number >= 150 {
             used.insert(attempt.server);
         }
@@ -123,21 +125,22 @@
         refused(RefusalReason::QueueFull),
         None,
     );
-    let second = sent(&effects).expect("a refused attempt, known not to have run, was not retried");
+    let second =
+        sent_attempt(&effects).expect("a refused attempt, known not to have run, was not retried");
     assert_ne!(second.server, first.server);
 
     let effects = driver.call(at(2), context(PriorityClass::Critical, 0, at(1000)), false);
-    let critical_attempt = sent(&effects).expect("sent");
+    let critical_attempt = sent_attempt(&effects).expect("sent");
     let lost = AttemptResult::Unknown {
         reason: RefusalReason::AnswerLost,
     };
     let effects = driver.answer(at(3), critical_attempt.attempt, lost, None);
     assert!(
-        sent(&effects).is_none(),
+        sent_attempt(&effects).is_none(),
         "a call that is not repeatable and may have run was retried"
     );
     assert!(matches!(
-        answered(&effects),
+        call_answer(&effects),
         Some(CallAnswer::Unknown { .. })
     ));
 }
@@ -150,7 +153,8 @@
         reason: RefusalReason::AnswerLost,
     };
     let effects = driver.answer(at(1), first.attempt, lost, None);
-    let second = sent(&effects).expect("a repeatable call whose answer was lost was not retried");
+    let second =
+        sent_attempt(&effects).expect("a repeatable call whose answer was lost was not retried");
     let effects = driver.answer(
         at(2),
         second.attempt,
@@ -158,7 +162,7 @@
         None,
     );
     assert!(matches!(
-        answered(&effects),
+        call_answer(&effects),
         Some(CallAnswer::Unknown { .. })
     ));
 }
@@ -174,9 +178,9 @@
         loop {
             let refusal = refused(RefusalReason::QueueFull);
             let effects = driver.answer(now, attempt.attempt, refusal, None);
-            let Some(retry) = sent(&effects) else {
+            let Some(retry) = sent_attempt(&effects) else {
                 assert!(
-                    answered(&effects).is_some(),
+                    call_answer(&effects).is_some(),
                     "a call without a further retry was not answered at once"
                 );
                 break;
@@ -203,16 +207,16 @@
     driver.answer(at(1), first.attempt, SUCCESS, Some(load(level)));
     let normal = context(PriorityClass::Normal, 127, at(1000));
     let effects = driver.call(at(2), normal, true);
-    assert!(sent(&effects).is_none());
+    assert!(sent_attempt(&effects).is_none());
     assert!(matches!(
-        answered(&effects),
+        call_answer(&effects),
         Some(CallAnswer::NotRun { .. })
     ));
     let critical = context(PriorityClass::Critical, 0, at(1000));
-    assert!(sent(&driver.call(at(2), critical, true)).is_some());
+    assert!(sent_attempt(&driver.call(at(2), critical, true)).is_some());
     let later = context(PriorityClass::Normal, 127, at(9000));
     assert!(
-        sent(&driver.call(at(2000), later, true)).is_some(),
+        sent_attempt(&driver.call(at(2000), later, true)).is_some(),
         "an expired load report still caused a refusal"
     );
 }
@@ -223,7 +227,7 @@
     let mut times = BTreeSet::new();
     for _ in 0..100 {
         let effects = driver.call(at(0), context(PriorityClass::Normal, 64, at(1000)), true);
-        let Some(CallAnswer::NotRun { retry_after, .. }) = answered(&effects) else {
+        let Some(CallAnswer::NotRun { retry_after, .. }) = call_answer(&effects) else {
             panic!("the call was not answered as not run although there is no server");
         };
         times.insert(retry_after);
@@ -255,7 +259,11 @@
         for _ in 0..2 {
             let normal = context(PriorityClass::Normal, 64, at(1000));
             let effects = driver.call(at(30), normal, true);
-            assert_eq!(sent(&effects).is_some(), spills, "weights {weights:?}");
+            assert_eq!(
+                sent_attempt(&effects).is_some(),
+                spills,
+                "weights {weights:?}"
+            );
         }
         let report = &driver.policy.reports(at(30), &driver.view)[0];
         let spilled: u64 = report.sides.iter().map(|side| side.counts.spilled).sum();
@@ -286,7 +294,7 @@
     };
     assert_eq!(effects[0], cancel);
     assert!(matches!(
-        answered(&effects),
+        call_answer(&effects),
         Some(CallAnswer::Unknown { .. })
     ));
 }
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -131,7 +131,7 @@
 
 /// An attempt that the policy sent.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentAttempt {
     pub call: CallId,
     pub attempt: AttemptId,
     pub server: NodeId,
@@ -189,21 +189,21 @@
     }
 
     /// Makes a normal, repeatable call, which must be sent to some server.
-    pub fn send(&mut self, now: Timestamp) -> Sent {
+    pub fn send(&mut self, now: Timestamp) -> SentAttempt {
         let deadline = now + Duration::from_secs(1);
         let effects = self.call(now, context(PriorityClass::Normal, 64, deadline), true);
-        sent(&effects).expect("the call was not sent to any server")
+        sent_attempt(&effects).expect("the call was not sent to any server")
     }
 }
 
-pub fn sent(effects: &[OutboundEffect]) -> Option<Sent> {
+pub fn sent_attempt(effects: &[OutboundEffect]) -> Option<SentAttempt> {
     effects.iter().find_map(|effect| match effect {
         OutboundEffect::Dispatch {
             call,
             attempt,
             server,
             ..
-        } => Some(Sent {
+        } => Some(SentAttempt {
             call: *call,
             attempt: *attempt,
             server: *server,
@@ -212,7 +212,7 @@
     })
 }
 
-pub fn answered(effects: &[OutboundEffect]) -> Option<CallAnswer> {
+pub fn call_answer(effects: &[OutboundEffect]) -> Option<CallAnswer> {
     effects.iter().find_map(|effect| match effect {
         OutboundEffect::Answer { answer, .. } => Some(*answer),
         _ => None,
@@ -239,7 +239,7 @@
 }
 
 /// The reason for which attempt `wanted` was refused, if it was.
-pub fn refusal_of(effects: &[InboundEffect], wanted: InboundId) -> Option<RefusalReason> {
+pub fn refusal_reason(effects: &[InboundEffect], wanted: InboundId) -> Option<RefusalReason> {
     effects.iter().find_map(|effect| match effect {
         InboundEffect::Answer {
             id,
