--- a/crates/coordination/src/class_floor.rs
+++ b/crates/coordination/src/class_floor.rs
@@ -1,4 +1,4 @@
-//! No less important call is admitted just after a more important one was
+//! Refuses less important calls for a short time after a more important one was
 //! refused for overload.
 
 use std::time::Duration;
@@ -6,20 +6,21 @@
 use lifthollow_protocol::RefusalReason;
 use lifthollow_state::{PriorityClass, Timestamp};
 
-/// How long a refusal of a class keeps less important classes out.
+/// How long less important classes are refused after a call was refused for
+/// overload.
 const HOLD: Duration = Duration::from_millis(100);
 
-/// The least important class admitted, after recent refusals.
+/// Lowest priority class that is admitted, depending on recent refusals.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClassFloor {
-    /// Until when classes below normal are kept out.
+    /// Time until which classes below normal are refused.
     normal_until: Timestamp,
-    /// Until when classes below critical are kept out.
+    /// Time until which classes below critical are refused.
     critical_until: Timestamp,
 }
 
 impl ClassFloor {
-    /// A call was refused.
+    /// Records that a call of `class` was refused for `reason`; only overload counts.
     pub fn refused(&mut self, now: Timestamp, class: PriorityClass, reason: RefusalReason) {
         if !is_overload(reason) {
             return;
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Whether a call of `class` may be admitted.
+    /// Whether the floor admits a call of `class`.
     pub fn admits(&self, now: Timestamp, class: PriorityClass) -> bool {
         match class {
             PriorityClass::Sheddable => now >= self.normal_until && now >= self.critical_until,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// When all classes are admitted again if no more calls are refused.
+    /// When all classes are admitted again if no further call is refused.
     pub fn opens_at(&self) -> Timestamp {
         self.normal_until.max(self.critical_until)
     }
--- a/crates/coordination/src/latency.rs
+++ b/crates/coordination/src/latency.rs
@@ -1,20 +1,21 @@
-//! A running estimate of how long something takes.
+//! Running estimate of a latency.
 
 use std::time::Duration;
 
 use lifthollow_state::Timestamp;
 
-/// Share of a new sample in the mean.
+/// Weight of a new sample in the moving average of the mean.
 const MEAN_GAIN: f64 = 1.0 / 8.0;
-/// Share of a new sample in the deviation.
+/// Weight of a new sample in the moving average of the deviation.
 const DEVIATION_GAIN: f64 = 1.0 / 4.0;
-/// Deviations above the mean that almost every sample stays under.
+/// Number of mean deviations above the mean that almost every sample stays under.
 const HIGH_DEVIATIONS: f64 = 4.0;
-/// Without samples, the estimate is halved this often, so that a slow spell
-/// that ended is not believed for ever by a node that refuses everything.
+/// Interval after which the estimate is halved while there are no samples. Without
+/// this, a node that refuses every call because of a slow period would never notice
+/// that the period has ended.
 const SILENCE_HALF_LIFE: Duration = Duration::from_millis(500);
 
-/// Exponentially weighted mean and mean deviation of a duration.
+/// Exponentially weighted mean and mean deviation of a duration, in seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LatencyEstimate {
     mean: f64,
@@ -24,7 +25,7 @@
 }
 
 impl LatencyEstimate {
-    /// Takes in one sample.
+    /// Adds one sample to the estimate.
     pub fn observe(&mut self, now: Timestamp, sample: Duration) {
         let sample = sample.as_secs_f64();
         if self.samples == 0 {
@@ -39,15 +40,15 @@
         self.updated = now;
     }
 
-    /// Takes in a duration that has passed without an end in sight: it counts
-    /// only if it is longer than expected.
+    /// Adds a lower bound of a duration that was not measured to its end: it counts
+    /// as a sample only if it is longer than the mean of earlier samples.
     pub fn observe_at_least(&mut self, now: Timestamp, elapsed: Duration) {
         if self.samples > 0 && elapsed.as_secs_f64() > self.mean {
             self.observe(now, elapsed);
         }
     }
 
-    /// Whether anything was observed.
+    /// Whether there were any samples.
     pub fn is_known(&self) -> bool {
         self.samples > 0
     }
@@ -57,7 +58,8 @@
         Duration::from_secs_f64(self.mean)
     }
 
-    /// The mean, halved for every half-life that has passed without a sample.
+    /// The mean of recent samples, halved for every half-life that has passed without
+    /// a sample.
     pub fn mean_at(&self, now: Timestamp) -> Duration {
         let silence = now.saturating_since(self.updated).as_secs_f64();
         let half_lives = (silence / SILENCE_HALF_LIFE.as_secs_f64()).floor();
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,22 +1,24 @@
-//! Decisions and agreement of lifthollow.
+//! The decisions of a lifthollow process and its agreement with other processes.
 //!
-//! Nothing in this crate does I/O or reads a clock: events and the time come
-//! in, effects go out. The daemon and the simulation run the same code.
+//! Nothing in this crate does I/O or reads a clock: events and the current time are
+//! passed in, and effects are returned. The daemon and the simulation run the same
+//! code.
 //!
-//! [`node::Node`] is the whole of one process. It composes, in this order:
+//! [`node::Node`] is the state of one process. It is composed, in this order, of:
 //!
 //! 1. [`fleet`]: which table is in force and which servers exist;
 //! 2. [`outbound`]: calls from local callers to servers of other services;
-//! 3. [`inbound`]: attempts from other nodes to the back end beside this node.
+//! 3. [`inbound`]: attempts from other nodes to this node's local back ends.
 //!
-//! Two matters cross both: [`retry`] bounds the retries of a whole request, and
-//! [`pressure`] carries refusals deep in the call graph towards the entry.
+//! Two modules concern both outbound calls and inbound attempts: [`retry`] bounds the
+//! retries of a whole request, and [`pressure`] propagates overload deep in the call
+//! graph towards the entry.
 //!
 //! [`claims`] lets a call with an idempotency key run at most once.
 //!
-//! [`mesh`] holds the decisions for requests that are routed by host and path.
+//! [`mesh`] makes the decisions for requests that are routed by host and path.
 //!
-//! [`baseline`] holds the ordinary policies that lifthollow is compared with.
+//! [`baseline`] contains the ordinary policies that lifthollow is compared with.
 
 pub mod baseline;
 pub mod claims;
--- a/crates/coordination/src/policy.rs
+++ b/crates/coordination/src/policy.rs
@@ -1,14 +1,14 @@
-//! Which set of decisions a node runs.
+//! Choice of the outbound and inbound policies that a node runs.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// A complete set of outbound and inbound decisions.
+/// A pair of outbound and inbound policies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PolicyKind {
-    /// The product.
+    /// The policies of the product.
     Lifthollow,
-    /// Baseline: fixed limits and a fixed count of retries, as an ordinary mesh has.
+    /// Baseline: fixed limits and a fixed number of retries, as in an ordinary mesh.
     StaticLimits,
     /// Baseline: round robin, three retries at each hop, unbounded queues.
     Passthrough,
@@ -22,7 +22,7 @@
         PolicyKind::Passthrough,
     ];
 
-    /// The name on command lines.
+    /// The name of the policy on command lines.
     pub fn as_str(self) -> &'static str {
         match self {
             PolicyKind::Lifthollow => "lifthollow",
@@ -49,7 +49,7 @@
     }
 }
 
-/// The text names no policy.
+/// Error for a text that is not the name of a policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a policy is `lifthollow`, `static-limits` or `passthrough`")]
 pub struct UnknownPolicy;
--- a/crates/coordination/src/refusal.rs
+++ b/crates/coordination/src/refusal.rs
@@ -1,8 +1,8 @@
-//! What a refused caller is told, and when it may come back.
+//! The final answer to a refused caller, and how long the caller should wait before
+//! it calls again.
 //!
-//! Refused callers are told a time that grows with the load and falls with
-//! their importance, and that differs from caller to caller, so that they do
-//! not all return together.
+//! That time grows with the load, is shorter for more important classes, and is
+//! randomized, so that refused callers do not all call again at the same time.
 
 use std::time::Duration;
 
@@ -13,34 +13,35 @@
 
 use crate::outbound::CallAnswer;
 
-/// Mean time told to callers of each class while the load is light.
+/// Mean waiting time of refused critical callers while the load is light.
 const CRITICAL_BASE: Duration = Duration::from_millis(500);
+/// Mean waiting time of refused normal callers while the load is light.
 const NORMAL_BASE: Duration = Duration::from_secs(1);
+/// Mean waiting time of refused sheddable callers while the load is light.
 const SHEDDABLE_BASE: Duration = Duration::from_secs(2);
-/// How many times longer callers are told to stay away when everything but the
-/// most important is refused.
+/// Factor on the waiting time when all but the highest priority is refused.
 const FULL_LOAD_FACTOR: f64 = 3.0;
-/// The time is spread between these multiples of its mean.
+/// Range of multiples of the mean between which the waiting time is drawn.
 const SPREAD: std::ops::Range<f64> = 0.5..1.5;
-/// Admission levels there are.
+/// Number of admission levels: 3 classes of 128 user priorities.
 const LEVELS: f64 = 384.0;
 
-/// Draws the times, from a seed.
+/// Generator of the waiting times for refused callers.
 #[derive(Debug)]
 pub struct RetryAfter {
     random: ChaCha8Rng,
 }
 
 impl RetryAfter {
-    /// Draws from `seed`.
+    /// Creates a generator whose random choices are determined by `seed`.
     pub fn from_seed(seed: u64) -> Self {
         RetryAfter {
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// The time for a caller of `class` refused by a server that admits `level`
-    /// and above.
+    /// Draws the waiting time for a caller of `class` refused by a server that admits
+    /// `level` and above.
     pub fn draw(&mut self, class: PriorityClass, level: AdmissionLevel) -> Duration {
         let load = f64::from(level.0) / LEVELS;
         let factor = 1.0 + (FULL_LOAD_FACTOR - 1.0) * load;
@@ -48,18 +49,19 @@
     }
 }
 
-/// Why a call gets no complete answer.
+/// Reason why a call gets no complete answer.
 #[derive(Clone, Copy, Debug)]
 pub struct GivenUp {
-    /// The reason told to the caller.
+    /// The reason sent to the caller.
     pub reason: RefusalReason,
-    /// When the server that refused wants to be asked again.
+    /// How long the server that refused the call asks callers to wait; zero if it
+    /// named no time.
     pub retry_after: Duration,
 }
 
 impl GivenUp {
-    /// The caller's final answer; it may come back after the later of the time
-    /// `drawn` and the one that the server named.
+    /// The final answer to the caller. Its waiting time is the longer of `drawn` and
+    /// the time that the server named.
     pub fn answer(self, may_have_run: bool, drawn: Duration) -> CallAnswer {
         let reason = self.reason;
         let retry_after = drawn.max(self.retry_after);
@@ -86,6 +88,7 @@
     }
 }
 
+/// Mean waiting time of a refused caller of `class` while the load is light.
 fn base(class: PriorityClass) -> Duration {
     match class {
         PriorityClass::Critical => CRITICAL_BASE,
--- a/crates/coordination/src/request_tree.rs
+++ b/crates/coordination/src/request_tree.rs
@@ -1,8 +1,8 @@
-//! How calls made beside this node belong to the attempts that run there.
+//! Assignment of the calls made by local back ends to the attempts that run there.
 //!
-//! A call nested below an attempt is lent its share of the attempt's retry
-//! allowance, cannot outlive it, and teaches the call graph what the local
-//! service needs.
+//! A call nested below an attempt is lent a share of the attempt's retry allowance,
+//! has no later deadline than the attempt, and is recorded in the call graph as a
+//! need of the local service.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,7 +14,8 @@
 use crate::pressure::{CallGraph, CallSource, CallerIndex};
 use crate::retry::AllowanceLedger;
 
-/// The attempts in progress beside a node and the calls nested below them.
+/// The attempts in progress on a node's local back ends and the calls nested below
+/// them.
 #[derive(Debug, Default)]
 pub struct RequestTree {
     ledger: AllowanceLedger,
@@ -24,7 +25,7 @@
     attempts: BTreeMap<InboundId, AttemptOrigin>,
 }
 
-/// Where an attempt came from and how long it may take.
+/// The source of an attempt and its deadline.
 #[derive(Debug)]
 struct AttemptOrigin {
     source: CallSource,
@@ -32,23 +33,24 @@
 }
 
 impl RequestTree {
-    /// What the local services call.
+    /// The call graph learned from the calls of the local services.
     pub fn call_graph(&self) -> &CallGraph {
         &self.call_graph
     }
 
-    /// Where an attempt came from, until it is settled.
+    /// The source of an attempt; none once the attempt is settled.
     pub fn source(&self, id: InboundId) -> Option<&CallSource> {
         self.attempts.get(&id).map(|origin| &origin.source)
     }
 
-    /// The allowance that goes back with the answer of an attempt.
+    /// Removes an attempt that is being answered and returns the unspent retry
+    /// allowance that is sent back with the answer.
     pub fn settle(&mut self, id: InboundId) -> RetryAllowance {
         self.attempts.remove(&id);
         self.ledger.settle(id)
     }
 
-    /// Notes what an inbound event means before it is decided on.
+    /// Records an inbound event, before the inbound policy handles it.
     pub fn before_inbound(&mut self, directory: &Arc<Directory>, event: &InboundEvent) {
         match event {
             InboundEvent::AttemptArrived { id, attempt } => self.arrived(directory, *id, attempt),
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Notes what the decisions mean for the attempts.
+    /// Records the actions that the inbound policy requested.
     pub fn after_inbound(&mut self, effects: &[InboundEffect]) {
         for effect in effects {
             if let InboundEffect::Answer { id, .. } | InboundEffect::Replay { id, .. } = effect {
@@ -77,7 +79,8 @@
         }
     }
 
-    /// Makes a nested call inherit from the attempt it belongs to.
+    /// Records an outbound event, before the outbound policy handles it. A nested
+    /// call gets its allowance and its latest deadline from its attempt.
     pub fn before_outbound(&mut self, event: &mut OutboundEvent) {
         match event {
             OutboundEvent::CallArrived { call, description } => self.inherit(*call, description),
@@ -88,7 +91,8 @@
         }
     }
 
-    /// Takes back what answered calls did not spend.
+    /// Adds the allowance that answered nested calls did not spend back to their
+    /// attempts.
     pub fn after_outbound(&mut self, effects: &[OutboundEffect]) {
         for effect in effects {
             let OutboundEffect::Answer { call, unspent, .. } = effect else {
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -1,14 +1,14 @@
-//! What a node knows of the fleet when it decides.
+//! The fleet state that a node's policies base their decisions on.
 
 use std::sync::Arc;
 
 use lifthollow_state::{Directory, Table};
 
-/// The table in force and the servers known, as handed to every decision.
+/// The table in force and the servers known to a node, passed to every policy.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// The table in force on this node.
     pub table: Arc<Table>,
-    /// The servers this node knows.
+    /// The servers that this node knows.
     pub directory: Arc<Directory>,
 }
