--- a/crates/coordination/src/class_floor.rs
+++ b/crates/coordination/src/class_floor.rs
@@ -8,7 +8,7 @@
 
 /// How long less important classes are refused after a call was refused for
 /// overload.
-const HOLD: Duration = Duration::from_millis(100);
+const FLOOR_DURATION: Duration = Duration::from_millis(100);
 
 /// Lowest priority class that is admitted, depending on recent refusals.
 #[derive(Clone, Copy, Debug, Default)]
@@ -21,14 +21,14 @@
 
 impl ClassFloor {
     /// Records that a call of `class` was refused for `reason`; only overload counts.
-    pub fn refused(&mut self, now: Timestamp, class: PriorityClass, reason: RefusalReason) {
+    pub fn record_refusal(&mut self, now: Timestamp, class: PriorityClass, reason: RefusalReason) {
         if !is_overload(reason) {
             return;
         }
         match class {
             PriorityClass::Sheddable => {}
-            PriorityClass::Normal => self.normal_until = now + HOLD,
-            PriorityClass::Critical => self.critical_until = now + HOLD,
+            PriorityClass::Normal => self.normal_until = now + FLOOR_DURATION,
+            PriorityClass::Critical => self.critical_until = now + FLOOR_DURATION,
         }
     }
 
@@ -42,7 +42,7 @@
     }
 
     /// When all classes are admitted again if no further call is refused.
-    pub fn opens_at(&self) -> Timestamp {
+    pub fn all_admitted_at(&self) -> Timestamp {
         self.normal_until.max(self.critical_until)
     }
 }
--- a/crates/coordination/src/inbound/admission_control.rs
+++ b/crates/coordination/src/inbound/admission_control.rs
@@ -10,7 +10,7 @@
 use super::{Attempt, InboundEffect, InboundEvent, InboundId, InboundPolicy};
 use super::{RunResult, attempt_result};
 use crate::View;
-use crate::refusal::RetryAfter;
+use crate::refusal::RetryAfterGenerator;
 
 /// Inbound policy that admits, queues or refuses attempts, independently for each
 /// service.
@@ -24,7 +24,7 @@
     leaving: bool,
     services: BTreeMap<ServiceName, ServiceAdmission>,
     service_of: BTreeMap<InboundId, ServiceName>,
-    retry_after: RetryAfter,
+    retry_after: RetryAfterGenerator,
 }
 
 impl AdmissionControl {
@@ -36,7 +36,7 @@
             leaving: false,
             services: BTreeMap::new(),
             service_of: BTreeMap::new(),
-            retry_after: RetryAfter::from_seed(seed),
+            retry_after: RetryAfterGenerator::from_seed(seed),
         }
     }
 
--- a/crates/coordination/src/inbound/service_admission.rs
+++ b/crates/coordination/src/inbound/service_admission.rs
@@ -128,7 +128,7 @@
         attempt: &QueuedAttempt,
         verdicts: &mut Vec<Verdict>,
     ) -> Result<(), RefusalReason> {
-        if now + self.time_to_answer.mean_at(now) > attempt.deadline {
+        if now + self.time_to_answer.decayed_mean(now) > attempt.deadline {
             return Err(RefusalReason::DeadlineTooShort);
         }
         if !self.downstream_level.admits(attempt.priority) {
@@ -177,9 +177,9 @@
         let limit = f64::from(self.current_limit(Some(row)));
         let wait = self
             .time_in_slot
-            .mean_at(now)
+            .decayed_mean(now)
             .mul_f64(queue_position / limit);
-        wait + self.time_to_answer.mean_at(now)
+        wait + self.time_to_answer.decayed_mean(now)
     }
 
     /// Records the head of the back end's answer; returns whether the calling node
@@ -205,7 +205,7 @@
                 self.limit.record_completion(now, in_flight, ceiling);
             }
             RunResult::Refused { .. } => self.limit.record_refusal(now, in_flight - 1),
-            RunResult::Lost => self.time_to_answer.observe_at_least(now, elapsed),
+            RunResult::Lost => self.time_to_answer.observe_lower_bound(now, elapsed),
         }
         is_first
     }
@@ -233,8 +233,8 @@
     fn record_time_in_slot(&mut self, now: Timestamp, run: Running) {
         let elapsed = now.saturating_since(run.started);
         if run.cancelled || !run.answered {
-            self.time_in_slot.observe_at_least(now, elapsed);
-            self.time_to_answer.observe_at_least(now, elapsed);
+            self.time_in_slot.observe_lower_bound(now, elapsed);
+            self.time_to_answer.observe_lower_bound(now, elapsed);
         } else {
             self.time_in_slot.observe(now, elapsed);
         }
@@ -303,12 +303,12 @@
         if now < self.queue_held_until {
             return Some(self.queue_held_until);
         }
-        let latest_start = deadline.saturating_sub(self.time_to_answer.mean_at(now));
+        let latest_start = deadline.saturating_sub(self.time_to_answer.decayed_mean(now));
         let too_late = latest_start + Duration::from_micros(1);
         let check = if self.may_start_queued(now) {
             too_late
         } else {
-            too_late.min(self.class_floor.opens_at())
+            too_late.min(self.class_floor.all_admitted_at())
         };
         Some(check.max(now + MIN_CHECK_INTERVAL))
     }
@@ -316,7 +316,7 @@
     /// Refuses queued attempts that could not finish in time even if they started
     /// now.
     fn refuse_unfinishable(&mut self, now: Timestamp, verdicts: &mut Vec<Verdict>) {
-        let earliest_end = now + self.time_to_answer.mean_at(now);
+        let earliest_end = now + self.time_to_answer.decayed_mean(now);
         while let Some(attempt) = self.queue.pop_deadline_before(earliest_end) {
             self.threshold.turned_away();
             verdicts.push(self.refuse(now, attempt, RefusalReason::DeadlineTooShort));
@@ -338,7 +338,7 @@
 
     fn refuse(&mut self, now: Timestamp, attempt: QueuedAttempt, reason: RefusalReason) -> Verdict {
         let class = attempt.priority.class;
-        self.class_floor.refused(now, class, reason);
+        self.class_floor.record_refusal(now, class, reason);
         Verdict::Refuse {
             id: attempt.id,
             priority: attempt.priority,
--- a/crates/coordination/src/latency.rs
+++ b/crates/coordination/src/latency.rs
@@ -13,7 +13,7 @@
 /// Interval after which the estimate is halved while there are no samples. Without
 /// this, a node that refuses every call because of a slow period would never notice
 /// that the period has ended.
-const SILENCE_HALF_LIFE: Duration = Duration::from_millis(500);
+const IDLE_HALF_LIFE: Duration = Duration::from_millis(500);
 
 /// Exponentially weighted mean and mean deviation of a duration, in seconds.
 #[derive(Clone, Copy, Debug, Default)]
@@ -42,7 +42,7 @@
 
     /// Adds a lower bound of a duration that was not measured to its end: it counts
     /// as a sample only if it is longer than the mean of earlier samples.
-    pub fn observe_at_least(&mut self, now: Timestamp, elapsed: Duration) {
+    pub fn observe_lower_bound(&mut self, now: Timestamp, elapsed: Duration) {
         if self.samples > 0 && elapsed.as_secs_f64() > self.mean {
             self.observe(now, elapsed);
         }
@@ -60,9 +60,9 @@
 
     /// The mean of recent samples, halved for every half-life that has passed without
     /// a sample.
-    pub fn mean_at(&self, now: Timestamp) -> Duration {
-        let silence = now.saturating_since(self.updated).as_secs_f64();
-        let half_lives = (silence / SILENCE_HALF_LIFE.as_secs_f64()).floor();
+    pub fn decayed_mean(&self, now: Timestamp) -> Duration {
+        let idle = now.saturating_since(self.updated).as_secs_f64();
+        let half_lives = (idle / IDLE_HALF_LIFE.as_secs_f64()).floor();
         Duration::from_secs_f64(self.mean * 0.5_f64.powf(half_lives))
     }
 
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -222,11 +222,11 @@
         mut event: OutboundEvent,
         effects: &mut Vec<NodeEffect>,
     ) {
-        self.request_tree.before_outbound(&mut event);
+        self.request_tree.prepare_outbound_event(&mut event);
         let mut outbound_effects = Vec::new();
         self.outbound
             .handle(now, self.fleet.view(), event, &mut outbound_effects);
-        self.request_tree.after_outbound(&outbound_effects);
+        self.request_tree.record_outbound_effects(&outbound_effects);
         effects.extend(outbound_effects.into_iter().map(NodeEffect::Outbound));
     }
 
@@ -259,9 +259,9 @@
         let result = LEAVING_REFUSAL;
         let refusal = InboundEffect::Answer { id, result };
         self.request_tree
-            .before_inbound(&self.fleet.view().directory, event);
+            .record_inbound_event(&self.fleet.view().directory, event);
         self.request_tree
-            .after_inbound(std::slice::from_ref(&refusal));
+            .record_inbound_effects(std::slice::from_ref(&refusal));
         effects.push(NodeEffect::Inbound(refusal));
     }
 
@@ -276,7 +276,7 @@
             .as_mut()
             .map(|claims| claims.observe(now, &event));
         self.request_tree
-            .before_inbound(&self.fleet.view().directory, &event);
+            .record_inbound_event(&self.fleet.view().directory, &event);
         self.apply_downstream_level(now, &event);
         self.run_inbound_policy(now, event, effects);
         self.carry_out_gate_effects(now, gate_effects, effects);
@@ -293,7 +293,7 @@
         let mut inbound_effects = Vec::new();
         self.inbound
             .handle(now, self.fleet.view(), event, &mut inbound_effects);
-        self.request_tree.after_inbound(&inbound_effects);
+        self.request_tree.record_inbound_effects(&inbound_effects);
         for effect in inbound_effects {
             match self.claims.as_mut() {
                 None => effects.push(NodeEffect::Inbound(effect)),
@@ -319,7 +319,7 @@
                 }
                 GateEffect::Inbound(effect) => {
                     self.request_tree
-                        .after_inbound(std::slice::from_ref(&effect));
+                        .record_inbound_effects(std::slice::from_ref(&effect));
                     effects.push(NodeEffect::Inbound(effect));
                 }
                 GateEffect::NotRun { id } => {
--- a/crates/coordination/src/outbound/routing.rs
+++ b/crates/coordination/src/outbound/routing.rs
@@ -26,7 +26,7 @@
 use super::{AttemptAnswer, AttemptId, Call, CallId};
 use super::{EdgeReport, OutboundEffect, OutboundEvent, OutboundPolicy};
 use crate::View;
-use crate::refusal::{GivenUp, RetryAfter};
+use crate::refusal::{CallFailure, RetryAfterGenerator};
 
 /// How often the servers of all edges are checked for outliers to eject.
 const OUTLIER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -39,7 +39,7 @@
 pub struct Routing {
     zone: Zone,
     random: ChaCha8Rng,
-    retry_after: RetryAfter,
+    retry_after: RetryAfterGenerator,
     edges: BTreeMap<ServiceName, Edge>,
     calls: CallTable,
     next_attempt: u64,
@@ -52,7 +52,7 @@
         Routing {
             zone,
             random: ChaCha8Rng::seed_from_u64(seed),
-            retry_after: RetryAfter::from_seed(seed ^ REFUSAL_SEED),
+            retry_after: RetryAfterGenerator::from_seed(seed ^ REFUSAL_SEED),
             edges: BTreeMap::new(),
             calls: CallTable::default(),
             next_attempt: 0,
@@ -139,7 +139,7 @@
     ) -> Option<ChosenServer> {
         let state = self.calls.get(id)?;
         let edge = self.edges.get_mut(&state.call.service)?;
-        let failed = state.failed_attempt(now, failure, edge.latency.mean_at(now));
+        let failed = state.failed_attempt(now, failure, edge.latency.decayed_mean(now));
         if !allows_retry(&failed) {
             return None;
         }
@@ -227,13 +227,13 @@
         if let Some(chosen) = self.choose_retry(now, view, id, failure) {
             return self.retry(now, id, failure, chosen, effects);
         }
-        let given_up = match answer.result {
+        let call_failure = match answer.result {
             AttemptResult::Completed { .. } => return self.deliver(id, answer, effects),
-            AttemptResult::Unknown { reason } => GivenUp::from(reason),
+            AttemptResult::Unknown { reason } => CallFailure::from(reason),
             AttemptResult::NotRun {
                 reason,
                 retry_after,
-            } => GivenUp {
+            } => CallFailure {
                 reason,
                 retry_after,
             },
@@ -242,7 +242,7 @@
             state.end_attempt(failure);
         }
         self.calls.remove_attempt(attempt);
-        self.give_up(now, view, id, given_up, effects);
+        self.give_up(now, view, id, call_failure, effects);
     }
 
     /// Records what an answer reveals about the server that sent it.
--- a/crates/coordination/src/outbound/routing/final_answer.rs
+++ b/crates/coordination/src/outbound/routing/final_answer.rs
@@ -10,7 +10,7 @@
 use crate::outbound::{
     AttemptAnswer, AttemptId, CallAnswer, CallId, OutboundEffect, OutboundPolicy,
 };
-use crate::refusal::GivenUp;
+use crate::refusal::CallFailure;
 
 impl Routing {
     /// Passes the current attempt's answer on to the caller.
@@ -49,7 +49,7 @@
         now: Timestamp,
         view: &View,
         id: CallId,
-        given_up: GivenUp,
+        call_failure: CallFailure,
         effects: &mut Vec<OutboundEffect>,
     ) {
         let Some(state) = self.calls.remove(id) else {
@@ -61,9 +61,10 @@
         if state.side.is_none()
             && let Some(edge) = self.edges.get_mut(&state.call.service)
         {
-            edge.class_floor.refused(now, class, given_up.reason);
+            edge.class_floor
+                .record_refusal(now, class, call_failure.reason);
         }
-        let answer = given_up.answer(state.may_have_run, drawn);
+        let answer = call_failure.answer(state.may_have_run, drawn);
         effects.push(OutboundEffect::Answer {
             call: id,
             answer,
--- a/crates/coordination/src/outbound/server_state.rs
+++ b/crates/coordination/src/outbound/server_state.rs
@@ -91,7 +91,7 @@
         match outcome {
             Outcome::Succeeded => self.latency.observe(now, elapsed),
             Outcome::Unreachable | Outcome::TimedOut | Outcome::GivenUp => {
-                self.latency.observe_at_least(now, elapsed);
+                self.latency.observe_lower_bound(now, elapsed);
             }
             Outcome::Refused | Outcome::Failed => {}
         }
@@ -189,7 +189,7 @@
     /// latency, utilization and failure rate; compared between servers only.
     pub fn cost(&self, now: Timestamp, default_limit: u32, typical_latency: Duration) -> f64 {
         let latency = if self.latency.is_known() {
-            self.latency.mean_at(now)
+            self.latency.decayed_mean(now)
         } else {
             typical_latency
         };
--- a/crates/coordination/src/refusal.rs
+++ b/crates/coordination/src/refusal.rs
@@ -14,28 +14,28 @@
 use crate::outbound::CallAnswer;
 
 /// Mean waiting time of refused critical callers while the load is light.
-const CRITICAL_BASE: Duration = Duration::from_millis(500);
+const CRITICAL_MEAN_DELAY: Duration = Duration::from_millis(500);
 /// Mean waiting time of refused normal callers while the load is light.
-const NORMAL_BASE: Duration = Duration::from_secs(1);
+const NORMAL_MEAN_DELAY: Duration = Duration::from_secs(1);
 /// Mean waiting time of refused sheddable callers while the load is light.
-const SHEDDABLE_BASE: Duration = Duration::from_secs(2);
+const SHEDDABLE_MEAN_DELAY: Duration = Duration::from_secs(2);
 /// Factor on the waiting time when all but the highest priority is refused.
 const FULL_LOAD_FACTOR: f64 = 3.0;
 /// Range of multiples of the mean between which the waiting time is drawn.
-const SPREAD: std::ops::Range<f64> = 0.5..1.5;
+const DELAY_SPREAD: std::ops::Range<f64> = 0.5..1.5;
 /// Number of admission levels: 3 classes of 128 user priorities.
-const LEVELS: f64 = 384.0;
+const LEVEL_COUNT: f64 = 384.0;
 
 /// Generator of the waiting times for refused callers.
 #[derive(Debug)]
-pub struct RetryAfter {
+pub struct RetryAfterGenerator {
     random: ChaCha8Rng,
 }
 
-impl RetryAfter {
+impl RetryAfterGenerator {
     /// Creates a generator whose random choices are determined by `seed`.
     pub fn from_seed(seed: u64) -> Self {
-        RetryAfter {
+        RetryAfterGenerator {
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
@@ -43,15 +43,15 @@
     /// Draws the waiting time for a caller of `class` refused by a server that admits
     /// `level` and above.
     pub fn draw(&mut self, class: PriorityClass, level: AdmissionLevel) -> Duration {
-        let load = f64::from(level.0) / LEVELS;
+        let load = f64::from(level.0) / LEVEL_COUNT;
         let factor = 1.0 + (FULL_LOAD_FACTOR - 1.0) * load;
-        base(class).mul_f64(factor * self.random.random_range(SPREAD))
+        mean_delay(class).mul_f64(factor * self.random.random_range(DELAY_SPREAD))
     }
 }
 
 /// Reason why a call gets no complete answer.
 #[derive(Clone, Copy, Debug)]
-pub struct GivenUp {
+pub struct CallFailure {
     /// The reason sent to the caller.
     pub reason: RefusalReason,
     /// How long the server that refused the call asks callers to wait; zero if it
@@ -59,7 +59,7 @@
     pub retry_after: Duration,
 }
 
-impl GivenUp {
+impl CallFailure {
     /// The final answer to the caller. Its waiting time is the longer of `drawn` and
     /// the time that the server named.
     pub fn answer(self, may_have_run: bool, drawn: Duration) -> CallAnswer {
@@ -79,9 +79,9 @@
     }
 }
 
-impl From<RefusalReason> for GivenUp {
+impl From<RefusalReason> for CallFailure {
     fn from(reason: RefusalReason) -> Self {
-        GivenUp {
+        CallFailure {
             reason,
             retry_after: Duration::ZERO,
         }
@@ -89,10 +89,10 @@
 }
 
 /// Mean waiting time of a refused caller of `class` while the load is light.
-fn base(class: PriorityClass) -> Duration {
+fn mean_delay(class: PriorityClass) -> Duration {
     match class {
-        PriorityClass::Critical => CRITICAL_BASE,
-        PriorityClass::Normal => NORMAL_BASE,
-        PriorityClass::Sheddable => SHEDDABLE_BASE,
+        PriorityClass::Critical => CRITICAL_MEAN_DELAY,
+        PriorityClass::Normal => NORMAL_MEAN_DELAY,
+        PriorityClass::Sheddable => SHEDDABLE_MEAN_DELAY,
     }
 }
--- a/crates/coordination/src/request_tree.rs
+++ b/crates/coordination/src/request_tree.rs
@@ -51,16 +51,16 @@
     }
 
     /// Records an inbound event, before the inbound policy handles it.
-    pub fn before_inbound(&mut self, directory: &Arc<Directory>, event: &InboundEvent) {
+    pub fn record_inbound_event(&mut self, directory: &Arc<Directory>, event: &InboundEvent) {
         match event {
-            InboundEvent::AttemptArrived { id, attempt } => self.arrived(directory, *id, attempt),
+            InboundEvent::AttemptArrived { id, attempt } => self.insert(directory, *id, attempt),
             InboundEvent::RunAnswered { id, result } => {
                 if let RunResult::Completed { success } = *result {
                     self.call_graph.completed(*id, success);
                 }
             }
             InboundEvent::RunClosed { id } | InboundEvent::AttemptCancelled { id } => {
-                self.ended(*id);
+                self.remove_attempt(*id);
             }
             InboundEvent::AnswerRecorded { .. }
             | InboundEvent::HealthReported { .. }
@@ -71,7 +71,7 @@
     }
 
     /// Records the actions that the inbound policy requested.
-    pub fn after_inbound(&mut self, effects: &[InboundEffect]) {
+    pub fn record_inbound_effects(&mut self, effects: &[InboundEffect]) {
         for effect in effects {
             if let InboundEffect::Answer { id, .. } | InboundEffect::Replay { id, .. } = effect {
                 self.call_graph.dropped(*id);
@@ -81,7 +81,7 @@
 
     /// Records an outbound event, before the outbound policy handles it. A nested
     /// call gets its allowance and its latest deadline from its attempt.
-    pub fn before_outbound(&mut self, event: &mut OutboundEvent) {
+    pub fn prepare_outbound_event(&mut self, event: &mut OutboundEvent) {
         match event {
             OutboundEvent::CallArrived { call, description } => self.inherit(*call, description),
             OutboundEvent::CallCancelled { call } => {
@@ -93,7 +93,7 @@
 
     /// Adds the allowance that answered nested calls did not spend back to their
     /// attempts.
-    pub fn after_outbound(&mut self, effects: &[OutboundEffect]) {
+    pub fn record_outbound_effects(&mut self, effects: &[OutboundEffect]) {
         for effect in effects {
             let OutboundEffect::Answer { call, unspent, .. } = effect else {
                 continue;
@@ -104,7 +104,7 @@
         }
     }
 
-    fn arrived(&mut self, directory: &Arc<Directory>, id: InboundId, attempt: &Attempt) {
+    fn insert(&mut self, directory: &Arc<Directory>, id: InboundId, attempt: &Attempt) {
         let context = &attempt.context;
         let source = CallSource {
             service: attempt.service.clone(),
@@ -117,7 +117,7 @@
         self.attempts.insert(id, AttemptOrigin { source, deadline });
     }
 
-    fn ended(&mut self, id: InboundId) {
+    fn remove_attempt(&mut self, id: InboundId) {
         self.ledger.settle(id);
         self.call_graph.dropped(id);
         self.attempts.remove(&id);
--- a/crates/coordination/tests/pressure.rs
+++ b/crates/coordination/tests/pressure.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn classes_without_calls_do_not_stop_the_level_from_reaching_others() {
+fn classes_that_never_come_do_not_keep_the_pressure_from_others() {
     let mut graph = CallGraph::default();
     record_runs(&mut graph, PriorityClass::Critical, 10);
     let deep = level(PriorityClass::Critical, 40);
