--- a/crates/coordination/src/inbound/admission_threshold.rs
+++ b/crates/coordination/src/inbound/admission_threshold.rs
@@ -38,7 +38,7 @@
 /// each window.
 const DEMAND_DECAY: f64 = 0.8;
 /// Utilization of the slots, relative to the limit, at which there is no spare
-/// capacity.
+/// capacity and the level stays unchanged.
 const TARGET_UTILIZATION: f64 = 1.0;
 /// Lowest utilization from which the spare capacity is extrapolated.
 const MIN_UTILIZATION: f64 = 0.05;
--- a/crates/coordination/src/inbound/queue.rs
+++ b/crates/coordination/src/inbound/queue.rs
@@ -18,7 +18,7 @@
     pub id: InboundId,
     /// Priority of the attempt, by which the queue is ordered first.
     pub priority: Priority,
-    /// When its caller stops waiting.
+    /// Time at which the attempt's caller stops waiting.
     pub deadline: Timestamp,
 }
 
--- a/crates/coordination/src/inbound/service_admission.rs
+++ b/crates/coordination/src/inbound/service_admission.rs
@@ -32,14 +32,14 @@
     Run {
         /// The attempt to run.
         id: InboundId,
-        /// When its caller stops waiting.
+        /// Time at which the attempt's caller stops waiting.
         deadline: Timestamp,
     },
     /// Answer that the attempt did not run.
     Refuse {
         /// The attempt to refuse.
         id: InboundId,
-        /// Priority of the attempt.
+        /// Priority of the attempt, which decides the order in which load is shed.
         priority: Priority,
         /// Why the attempt is refused.
         reason: RefusalReason,
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -47,7 +47,8 @@
 
 /// A wake that is late by more than this means that the process was paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
-/// A node wakes at least this often, so that it notices pauses.
+/// Longest interval between two wakes of a node, so that it detects pauses of the
+/// process.
 const MAX_WAKE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Answer of a leaving node to new attempts; they may be retried on other servers at
--- a/crates/coordination/src/outbound/ejection.rs
+++ b/crates/coordination/src/outbound/ejection.rs
@@ -1,5 +1,6 @@
-//! Ejection state of one server: a failing server is excluded for a while and
-//! then half-open until a trial attempt succeeds.
+//! Ejection state of one server: a failing server gets no attempts for a while, as
+//! long as other servers do better, and is then half-open until a trial attempt
+//! succeeds.
 
 use std::time::Duration;
 
