--- a/crates/coordination/src/class_floor.rs
+++ b/crates/coordination/src/class_floor.rs
@@ -1,4 +1,4 @@
-//! No less important call is admitted just after a more important one was
+//! Refuses less important calls for a short time after a more important one was
 //! refused for overload.
 
 use std::time::Duration;
@@ -6,32 +6,33 @@
 use lifthollow_protocol::RefusalReason;
 use lifthollow_state::{PriorityClass, Timestamp};
 
-/// How long a refusal of a class keeps less important classes out.
-const HOLD: Duration = Duration::from_millis(100);
+/// How long less important classes are refused after a call was refused for
+/// overload.
+const FLOOR_DURATION: Duration = Duration::from_millis(100);
 
-/// The least important class admitted, after recent refusals.
+/// Lowest priority class that is admitted, depending on recent refusals.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClassFloor {
-    /// Until when classes below normal are kept out.
+    /// Time until which classes below normal are refused.
     normal_until: Timestamp,
-    /// Until when classes below critical are kept out.
+    /// Time until which classes below critical are refused.
     critical_until: Timestamp,
 }
 
 impl ClassFloor {
-    /// A call was refused.
-    pub fn refused(&mut self, now: Timestamp, class: PriorityClass, reason: RefusalReason) {
+    /// Records that a call of `class` was refused for `reason`; only overload counts.
+    pub fn record_refusal(&mut self, now: Timestamp, class: PriorityClass, reason: RefusalReason) {
         if !is_overload(reason) {
             return;
         }
         match class {
             PriorityClass::Sheddable => {}
-            PriorityClass::Normal => self.normal_until = now + HOLD,
-            PriorityClass::Critical => self.critical_until = now + HOLD,
+            PriorityClass::Normal => self.normal_until = now + FLOOR_DURATION,
+            PriorityClass::Critical => self.critical_until = now + FLOOR_DURATION,
         }
     }
 
-    /// Whether a call of `class` may be admitted.
+    /// Whether the floor admits a call of `class`.
     pub fn admits(&self, now: Timestamp, class: PriorityClass) -> bool {
         match class {
             PriorityClass::Sheddable => now >= self.normal_until && now >= self.critical_until,
@@ -40,8 +41,8 @@
         }
     }
 
-    /// When all classes are admitted again if no more calls are refused.
-    pub fn opens_at(&self) -> Timestamp {
+    /// When all classes are admitted again if no further call is refused.
+    pub fn all_admitted_at(&self) -> Timestamp {
         self.normal_until.max(self.critical_until)
     }
 }
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -1,4 +1,5 @@
-//! One lifthollow process: fleet, outbound and inbound decisions composed.
+//! One lifthollow process, composed of its fleet state and its outbound and inbound
+//! policies.
 
 mod settings;
 
@@ -20,42 +21,44 @@
 
 pub use settings::NodeSettings;
 
-/// Everything that can happen to a node.
+/// An event that a node must handle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeEvent {
-    /// Calls of local callers.
+    /// An event about a call of a local caller.
     Outbound(OutboundEvent),
-    /// Attempts for the back end beside the node.
+    /// An event about an attempt for a local back end.
     Inbound(InboundEvent),
-    /// The platform and other nodes.
+    /// An event from the platform or from other nodes.
     Fleet(FleetEvent),
-    /// The time asked for with [`Node::next_wake`] has come.
+    /// The time returned by [`Node::next_wake`] has come.
     Wake,
 }
 
-/// Everything a node can want done.
+/// An action that a node requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeEffect {
-    /// For the caller's side.
+    /// An action on a call of a local caller.
     Outbound(OutboundEffect),
-    /// For the server's side.
+    /// An action on an attempt for a local back end.
     Inbound(InboundEffect),
-    /// For the platform and other nodes.
+    /// An action directed to the platform or to other nodes.
     Fleet(FleetEffect),
 }
 
-/// A wake this much later than asked for means that the process was paused.
+/// A wake that is late by more than this means that the process was paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
-/// A node wakes at least this often, so that it notices pauses.
-const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest interval between two wakes of a node, so that it detects pauses of the
+/// process.
+const MAX_WAKE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a leaving node answers to new work; other servers take it at once.
-const LEAVING_ANSWER: AttemptResult = AttemptResult::NotRun {
+/// Answer of a leaving node to new attempts; they may be retried on other servers at
+/// once.
+const LEAVING_REFUSAL: AttemptResult = AttemptResult::NotRun {
     reason: RefusalReason::Leaving,
     retry_after: Duration::ZERO,
 };
 
-/// One process of lifthollow.
+/// State of one lifthollow process.
 pub struct Node {
     settings: NodeSettings,
     fleet: Fleet,
@@ -67,21 +70,21 @@
 }
 
 impl Node {
-    /// A node that knows nothing yet but its settings.
+    /// Creates a node with the policies that its settings name and no other state.
     pub fn new(settings: NodeSettings) -> Self {
-        let (outbound, inbound) = settings.decisions();
+        let (outbound, inbound) = settings.create_policies();
         Node::with_policies(settings, outbound, inbound)
     }
 
-    /// A node that runs the given decisions in place of those its settings name,
-    /// so that checks can be tried on decisions that are wrong on purpose.
+    /// Creates a node with the given policies in place of those its settings name,
+    /// so that checks can be tested with policies that are wrong on purpose.
     pub fn with_policies(
         settings: NodeSettings,
         outbound: Box<dyn OutboundPolicy>,
         inbound: Box<dyn InboundPolicy>,
     ) -> Self {
         Node {
-            fleet: Fleet::new(settings.for_fleet()),
+            fleet: Fleet::new(settings.fleet_settings()),
             settings,
             outbound,
             inbound,
@@ -91,8 +94,8 @@
         }
     }
 
-    /// Lets attempts with an idempotency key run only under a claim. Without this
-    /// they run like others.
+    /// Makes attempts with an idempotency key run only under a claim. Without this
+    /// they run like all others.
     pub fn with_claims(self, settings: ClaimSettings) -> Self {
         Node {
             claims: Some(ClaimGate::new(settings)),
@@ -100,34 +103,36 @@
         }
     }
 
-    /// What this node's replica knows of a key; none without claims.
+    /// What this node's replica has recorded about an idempotency key; none if the
+    /// node runs without claims.
     pub fn key_report(&self, now: Timestamp, key: IdempotencyKey) -> Option<KeyReport> {
         self.claims.as_ref()?.report(now, key)
     }
 
-    /// Whether the node, told to stop, has yet to hand its claims over.
+    /// Whether the node is stopping and has yet to hand its claims over.
     pub fn is_handing_over(&self) -> bool {
         self.claims.as_ref().is_some_and(ClaimGate::is_handing_over)
     }
 
-    /// The settings the node was made with.
+    /// The settings that the node was created with.
     pub fn settings(&self) -> &NodeSettings {
         &self.settings
     }
 
-    /// The table in force and the servers known.
+    /// The table in force and the servers that this node knows.
     pub fn view(&self) -> &View {
         self.fleet.view()
     }
 
-    /// What is known of the fleet.
+    /// The node's state of the fleet.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// The load of a local service, to be sent with the answer of an attempt:
-    /// it includes what the services needed by calls from there refuse. To be
-    /// asked for before the attempt is settled.
+    /// The load of a local service, to be sent with the answer to attempt `id`. Its
+    /// admission level includes that of the downstream services which calls from
+    /// the attempt's source need. This must be called before the attempt is
+    /// settled.
     pub fn load_for_caller(
         &self,
         now: Timestamp,
@@ -142,45 +147,46 @@
         load
     }
 
-    /// What there is to tell operators of the services called from this node.
+    /// Reports for operators on the services called from this node.
     pub fn edges(&self, now: Timestamp) -> Vec<EdgeReport> {
         self.outbound.reports(now, self.fleet.view())
     }
 
-    /// The load of a local service.
+    /// The load of a local service, without that of downstream services.
     pub fn load(&self, now: Timestamp, service: &ServiceName) -> LoadReport {
         let mut load = self.inbound.load(now, self.fleet.view(), service);
         load.leaving |= !self.fleet.takes_new_work();
         load
     }
 
-    /// The retries that an attempt was lent and has not spent, to be sent with
-    /// its answer. To be called once, when [`InboundEffect::Answer`] is carried
-    /// out: what the attempt's calls give back later stays spent.
+    /// Closes the retry account of an attempt and returns the retries lent to it
+    /// that it has not spent, to be sent with its answer. This must be called once,
+    /// when [`InboundEffect::Answer`] is carried out: retries that the attempt's
+    /// calls return later count as spent.
     pub fn settle_allowance(&mut self, id: InboundId) -> RetryAllowance {
         self.request_tree.settle(id)
     }
 
-    /// Attempts queued or running beside this node.
+    /// Number of attempts queued for or running on the local back ends.
     pub fn in_progress(&self) -> usize {
         self.inbound.in_progress()
     }
 
-    /// When [`NodeEvent::Wake`] is wanted next, at the latest.
+    /// The latest time at which [`NodeEvent::Wake`] must be handled next.
     pub fn next_wake(&self, now: Timestamp) -> Timestamp {
         let wakes = [
             self.fleet.next_wake(),
             self.outbound.next_wake(),
             self.inbound.next_wake(),
             self.claims.as_ref().and_then(ClaimGate::next_wake),
-            Some(now + HEARTBEAT_INTERVAL),
+            Some(now + MAX_WAKE_INTERVAL),
         ];
         wakes.into_iter().flatten().min().unwrap_or(now)
     }
 
-    /// Takes in one event and appends what is to be done to `effects`.
+    /// Handles one event and appends the requested actions to `effects`.
     pub fn handle(&mut self, now: Timestamp, event: NodeEvent, effects: &mut Vec<NodeEffect>) {
-        self.notice_pause(now, effects);
+        self.detect_pause(now, effects);
         match event {
             NodeEvent::Outbound(event) => self.handle_outbound(now, event, effects),
             NodeEvent::Inbound(event) => self.handle_inbound(now, event, effects),
@@ -189,12 +195,13 @@
         }
     }
 
-    /// A long gap between events means that the process did not run meanwhile,
-    /// because it wakes at least every [`HEARTBEAT_INTERVAL`].
-    fn notice_pause(&mut self, now: Timestamp, effects: &mut Vec<NodeEffect>) {
+    /// Detects pauses of the process and reports them to the policies. A long gap
+    /// between events means that the process did not run meanwhile, because it wakes
+    /// at least every [`MAX_WAKE_INTERVAL`].
+    fn detect_pause(&mut self, now: Timestamp, effects: &mut Vec<NodeEffect>) {
         let previous = self.last_handled.replace(now);
         let gap = previous.map_or(Duration::ZERO, |previous| now - previous);
-        if gap <= HEARTBEAT_INTERVAL + PAUSE_THRESHOLD {
+        if gap <= MAX_WAKE_INTERVAL + PAUSE_THRESHOLD {
             return;
         }
         let paused_for = gap;
@@ -206,8 +213,8 @@
         self.handle_fleet(now, FleetEvent::Wake, effects);
         self.handle_inbound(now, InboundEvent::Wake, effects);
         self.handle_outbound(now, OutboundEvent::Wake, effects);
-        let claimed = self.claims.as_mut().map(|claims| claims.wake(now));
-        self.carry_out_claims(now, claimed, effects);
+        let gate_effects = self.claims.as_mut().map(|claims| claims.wake(now));
+        self.carry_out_gate_effects(now, gate_effects, effects);
     }
 
     fn handle_outbound(
@@ -216,16 +223,17 @@
         mut event: OutboundEvent,
         effects: &mut Vec<NodeEffect>,
     ) {
-        self.request_tree.before_outbound(&mut event);
+        self.request_tree.prepare_outbound_event(&mut event);
         let mut outbound_effects = Vec::new();
         self.outbound
             .handle(now, self.fleet.view(), event, &mut outbound_effects);
-        self.request_tree.after_outbound(&outbound_effects);
+        self.request_tree.record_outbound_effects(&outbound_effects);
         effects.extend(outbound_effects.into_iter().map(NodeEffect::Outbound));
     }
 
-    /// A planned stop is announced to the fleet as well. While the node leaves,
-    /// new attempts are refused as not run, whoever has not heard of it yet.
+    /// Handles an inbound event. A planned stop is announced to the fleet as well.
+    /// While the node leaves, new attempts are answered as not run, including those
+    /// of nodes that have not yet been notified.
     fn handle_inbound(
         &mut self,
         now: Timestamp,
@@ -240,7 +248,7 @@
         {
             return self.refuse_while_leaving(id, &event, effects);
         }
-        self.decide_inbound(now, event, effects);
+        self.process_inbound(now, event, effects);
     }
 
     fn refuse_while_leaving(
@@ -249,56 +257,62 @@
         event: &InboundEvent,
         effects: &mut Vec<NodeEffect>,
     ) {
-        let result = LEAVING_ANSWER;
+        let result = LEAVING_REFUSAL;
         let refusal = InboundEffect::Answer { id, result };
         self.request_tree
-            .before_inbound(&self.fleet.view().directory, event);
+            .record_inbound_event(&self.fleet.view().directory, event);
         self.request_tree
-            .after_inbound(std::slice::from_ref(&refusal));
+            .record_inbound_effects(std::slice::from_ref(&refusal));
         effects.push(NodeEffect::Inbound(refusal));
     }
 
-    fn decide_inbound(
+    fn process_inbound(
         &mut self,
         now: Timestamp,
         event: InboundEvent,
         effects: &mut Vec<NodeEffect>,
     ) {
-        let claimed = self
+        let gate_effects = self
             .claims
             .as_mut()
             .map(|claims| claims.observe(now, &event));
         self.request_tree
-            .before_inbound(&self.fleet.view().directory, &event);
-        self.pass_on_pressure(now, &event);
-        self.ask_inbound(now, event, effects);
-        self.carry_out_claims(now, claimed, effects);
+            .record_inbound_event(&self.fleet.view().directory, &event);
+        self.apply_downstream_level(now, &event);
+        self.run_inbound_policy(now, event, effects);
+        self.carry_out_gate_effects(now, gate_effects, effects);
     }
 
-    /// Lets the inbound policy decide. What it wants to run is claimed first.
-    fn ask_inbound(&mut self, now: Timestamp, event: InboundEvent, effects: &mut Vec<NodeEffect>) {
+    /// Passes an event to the inbound policy. With claims, the runs that the policy
+    /// requests are claimed first.
+    fn run_inbound_policy(
+        &mut self,
+        now: Timestamp,
+        event: InboundEvent,
+        effects: &mut Vec<NodeEffect>,
+    ) {
         let mut inbound_effects = Vec::new();
         self.inbound
             .handle(now, self.fleet.view(), event, &mut inbound_effects);
-        self.request_tree.after_inbound(&inbound_effects);
+        self.request_tree.record_inbound_effects(&inbound_effects);
         for effect in inbound_effects {
             match self.claims.as_mut() {
                 None => effects.push(NodeEffect::Inbound(effect)),
                 Some(claims) => {
-                    let claimed = claims.filter(now, effect);
-                    self.carry_out_claims(now, Some(claimed), effects);
+                    let gate_effects = claims.filter(now, effect);
+                    self.carry_out_gate_effects(now, Some(gate_effects), effects);
                 }
             }
         }
     }
 
-    fn carry_out_claims(
+    fn carry_out_gate_effects(
         &mut self,
         now: Timestamp,
-        claimed: Option<Vec<GateEffect>>,
+        gate_effects: Option<Vec<GateEffect>>,
         effects: &mut Vec<NodeEffect>,
     ) {
-        for effect in claimed.into_iter().flatten() {
+        for effect in gate_effects.into_iter().flatten() {
             match effect {
                 GateEffect::Send(Envelope { to, message }) => {
                     let message = ControlMessage::Claim(message);
@@ -306,18 +320,20 @@
                 }
                 GateEffect::Inbound(effect) => {
                     self.request_tree
-                        .after_inbound(std::slice::from_ref(&effect));
+                        .record_inbound_effects(std::slice::from_ref(&effect));
                     effects.push(NodeEffect::Inbound(effect));
                 }
                 GateEffect::NotRun { id } => {
-                    self.ask_inbound(now, InboundEvent::RunClosed { id }, effects);
+                    self.run_inbound_policy(now, InboundEvent::RunClosed { id }, effects);
                 }
             }
         }
     }
 
-    /// What the services needed further down refuse is refused here as well.
-    fn pass_on_pressure(&mut self, now: Timestamp, event: &InboundEvent) {
+    /// Sets the admission level of the needed downstream services on the inbound
+    /// policy before it decides on an attempt, so that calls which those services
+    /// would refuse are refused here as well.
+    fn apply_downstream_level(&mut self, now: Timestamp, event: &InboundEvent) {
         let InboundEvent::AttemptArrived { id, attempt } = event else {
             return;
         };
@@ -327,8 +343,8 @@
         }
     }
 
-    /// The lowest priority that the services needed by calls from `source`
-    /// admit.
+    /// The lowest priority that the downstream services needed by calls from
+    /// `source` admit.
     fn downstream_level(&self, now: Timestamp, source: &CallSource) -> AdmissionLevel {
         downstream_level(self.request_tree.call_graph(), source, |needed| {
             self.outbound.level(now, self.fleet.view(), needed)
@@ -342,8 +358,8 @@
         } = event
         {
             let claims = self.claims.as_mut();
-            let claimed = claims.map(|claims| claims.receive(now, from, message));
-            return self.carry_out_claims(now, claimed, effects);
+            let gate_effects = claims.map(|claims| claims.receive(now, from, message));
+            return self.carry_out_gate_effects(now, gate_effects, effects);
         }
         let mut fleet_effects = Vec::new();
         self.fleet.handle(now, event, &mut fleet_effects);
--- a/crates/coordination/src/outbound/routing/final_answer.rs
+++ b/crates/coordination/src/outbound/routing/final_answer.rs
@@ -1,5 +1,5 @@
-//! The end of a call: its one answer to the caller, in the moment that it is
-//! known, and the end of the answer's body.
+//! The end of a call: its single answer to the caller, given as soon as it is
+//! known, and the end of that answer's body.
 
 use lifthollow_state::{RetryAllowance, Timestamp};
 
@@ -10,7 +10,7 @@
 use crate::outbound::{
     AttemptAnswer, AttemptId, CallAnswer, CallId, OutboundEffect, OutboundPolicy,
 };
-use crate::refusal::GivenUp;
+use crate::refusal::CallFailure;
 
 impl Routing {
     /// Passes the current attempt's answer on to the caller.
@@ -23,16 +23,16 @@
         let Some(state) = self.calls.get_mut(id) else {
             return;
         };
-        let unspent = RetryAllowance(state.allowance_after(Failure::told_by(&answer)));
+        let unspent = RetryAllowance(state.allowance_after(Failure::from_answer(&answer)));
         let Some(current) = state.current.as_mut() else {
             return;
         };
         current.delivered = true;
         let current = *current;
         if let Some(edge) = self.edges.get_mut(&state.call.service) {
-            edge.streams(current.server, current.id);
+            edge.record_stream_started(current.server, current.id);
         }
-        self.calls.stop_timer(id);
+        self.calls.cancel_timer(id);
         effects.push(OutboundEffect::Answer {
             call: id,
             answer: CallAnswer::Deliver {
@@ -42,13 +42,14 @@
         });
     }
 
-    /// The final answer of a call that no attempt will complete.
+    /// Answers the caller of a call that no attempt will complete, and removes the
+    /// call.
     pub(super) fn give_up(
         &mut self,
         now: Timestamp,
         view: &View,
         id: CallId,
-        given_up: GivenUp,
+        call_failure: CallFailure,
         effects: &mut Vec<OutboundEffect>,
     ) {
         let Some(state) = self.calls.remove(id) else {
@@ -60,9 +61,10 @@
         if state.side.is_none()
             && let Some(edge) = self.edges.get_mut(&state.call.service)
         {
-            edge.class_floor.refused(now, class, given_up.reason);
+            edge.class_floor
+                .record_refusal(now, class, call_failure.reason);
         }
-        let answer = given_up.answer(state.may_have_run, drawn);
+        let answer = call_failure.answer(state.may_have_run, drawn);
         effects.push(OutboundEffect::Answer {
             call: id,
             answer,
@@ -70,8 +72,9 @@
         });
     }
 
-    /// The last byte of a delivered answer has passed.
-    pub(super) fn closed(&mut self, attempt: AttemptId) {
+    /// Removes the call of an attempt whose delivered answer was passed on to its
+    /// last byte or broke off.
+    pub(super) fn handle_stream_closed(&mut self, attempt: AttemptId) {
         let Some(id) = self.calls.call_of(attempt) else {
             return;
         };
@@ -83,11 +86,17 @@
             return;
         };
         if let Some(edge) = self.edges.get_mut(&state.call.service) {
-            edge.closed(current.server, attempt);
+            edge.record_stream_closed(current.server, attempt);
         }
     }
 
-    pub(super) fn cancel(&mut self, now: Timestamp, id: CallId, effects: &mut Vec<OutboundEffect>) {
+    /// Gives up the current attempt of a cancelled call and removes the call.
+    pub(super) fn cancel_call(
+        &mut self,
+        now: Timestamp,
+        id: CallId,
+        effects: &mut Vec<OutboundEffect>,
+    ) {
         self.abandon_attempt(now, id, Outcome::GivenUp, effects);
         self.calls.remove(id);
     }
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Values that the tests of the decisions share.
+//! Values and drivers shared by the tests of the outbound and inbound policies.
 #![allow(dead_code)]
 
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -46,8 +46,8 @@
     }
 }
 
-/// A view with `old` and `new` servers; old ones are nodes 1.., new ones 101..,
-/// each in a zone of its own.
+/// A view with `old` servers on the old side (nodes 1..) and `new` servers on the new
+/// side (nodes 101..), each in a zone of its own.
 pub fn view(weights: (u32, u32), old: u16, new: u16) -> View {
     let rows = [
         row(service(), Side::Old, weights.0),
@@ -82,7 +82,7 @@
     }
 }
 
-/// Drives an inbound policy and collects what it wants done.
+/// Passes events to an inbound policy and returns the actions it requests.
 pub struct InboundDriver {
     pub policy: AdmissionControl,
     pub view: View,
@@ -122,7 +122,7 @@
     }
 }
 
-/// Drives an outbound policy and collects what it wants done.
+/// Passes events to an outbound policy and returns the actions it requests.
 pub struct OutboundDriver {
     pub policy: Routing,
     pub view: View,
@@ -131,7 +131,7 @@
 
 /// An attempt that the policy sent.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentAttempt {
     pub call: CallId,
     pub attempt: AttemptId,
     pub server: NodeId,
@@ -188,22 +188,22 @@
         effects
     }
 
-    /// A normal, repeatable call that must be sent somewhere.
-    pub fn send(&mut self, now: Timestamp) -> Sent {
+    /// Makes a normal, repeatable call, which must be sent to some server.
+    pub fn send(&mut self, now: Timestamp) -> SentAttempt {
         let deadline = now + Duration::from_secs(1);
         let effects = self.call(now, context(PriorityClass::Normal, 64, deadline), true);
-        sent(&effects).expect("the call is sent")
+        sent_attempt(&effects).expect("the call was not sent to any server")
     }
 }
 
-pub fn sent(effects: &[OutboundEffect]) -> Option<Sent> {
+pub fn sent_attempt(effects: &[OutboundEffect]) -> Option<SentAttempt> {
     effects.iter().find_map(|effect| match effect {
         OutboundEffect::Dispatch {
             call,
             attempt,
             server,
             ..
-        } => Some(Sent {
+        } => Some(SentAttempt {
             call: *call,
             attempt: *attempt,
             server: *server,
@@ -212,7 +212,7 @@
     })
 }
 
-pub fn answered(effects: &[OutboundEffect]) -> Option<CallAnswer> {
+pub fn call_answer(effects: &[OutboundEffect]) -> Option<CallAnswer> {
     effects.iter().find_map(|effect| match effect {
         OutboundEffect::Answer { answer, .. } => Some(*answer),
         _ => None,
@@ -238,8 +238,8 @@
     }
 }
 
-/// The reason an attempt was refused for.
-pub fn refusal_of(effects: &[InboundEffect], wanted: InboundId) -> Option<RefusalReason> {
+/// The reason for which attempt `wanted` was refused, if it was.
+pub fn refusal_reason(effects: &[InboundEffect], wanted: InboundId) -> Option<RefusalReason> {
     effects.iter().find_map(|effect| match effect {
         InboundEffect::Answer {
             id,
