--- a/crates/proxy/src/source/mod.rs
+++ b/crates/proxy/src/source/mod.rs
@@ -180,7 +180,7 @@
         self.log_read(&snapshot);
         let revision = snapshot.revision;
         snapshots::replace_snapshot(&self.node, "source", snapshot);
-        self.brought_up_to_date(revision, asked);
+        self.mark_up_to_date(revision, asked);
         if !self.node.is_watcher() {
             asking::notify_watchers(&self.node);
         }
@@ -202,9 +202,9 @@
         let asked = self.node.now();
         let newest = self.source.newest_revision().await?;
         if newest > self.node.revision() {
-            self.fall_behind("no node reported the changes");
+            self.handle_missing_changes("no node reported the changes");
         } else {
-            self.brought_up_to_date(newest, asked);
+            self.mark_up_to_date(newest, asked);
         }
         Ok(())
     }
@@ -220,7 +220,7 @@
     ) -> Result<bool, SourceError> {
         let answer = match answer {
             Err(SourceError::HistoryGone) => {
-                self.fall_behind("source forgot its history");
+                self.handle_missing_changes("source forgot its history");
                 return Ok(false);
             }
             other => other?,
@@ -228,22 +228,24 @@
         if answer.revision.era != after.era {
             // In a new era the source assigns revision numbers again: the answer does not contain the
             // new era's changes up to the number of `after`.
-            self.fall_behind("source came back from an older copy");
+            self.handle_missing_changes("source came back from an older copy");
             return Ok(false);
         }
         let has_changes = answer.told > 0;
         if !has_changes && answer.revision > self.node.revision() {
             // The source reports every change, so some are missing from this answer.
-            self.fall_behind("source named a revision without the changes that led to it");
+            self.handle_missing_changes(
+                "source named a revision without the changes that led to it",
+            );
             return Ok(false);
         }
         snapshots::apply_changes(&self.node, answer.revision, answer.changes);
-        self.brought_up_to_date(answer.revision, asked);
+        self.mark_up_to_date(answer.revision, asked);
         Ok(has_changes)
     }
 
     /// Handles that the source has a newer revision but did not report the changes up to it.
-    fn fall_behind(&mut self, why: &str) {
+    fn handle_missing_changes(&mut self, why: &str) {
         let (now, known) = (self.node.now(), self.known());
         info!(self.node.log, "fell behind the source"; "why" => why, "revision" => %known.revision);
         self.log_source_regained();
@@ -252,7 +254,7 @@
     }
 
     /// Handles that the node has `revision`, which was the source's newest at `at`.
-    fn brought_up_to_date(&mut self, revision: Revision, at: Timestamp) {
+    fn mark_up_to_date(&mut self, revision: Revision, at: Timestamp) {
         self.confirm(revision, at);
         self.log_source_regained();
         let random = &mut self.node.state.borrow_mut().random;
--- a/crates/proxy/src/source/watching.rs
+++ b/crates/proxy/src/source/watching.rs
@@ -34,7 +34,7 @@
         let wait = self.watch_wait();
         let asked = self.node.now();
         let Some(answer) = self.await_watch_answer(after, wait).await? else {
-            self.fall_behind("a watch did not report the changes");
+            self.handle_missing_changes("a watch did not report the changes");
             return Ok(());
         };
         if !self.apply_changes(answer, after, asked)? {
--- a/crates/proxy/src/suspects/mod.rs
+++ b/crates/proxy/src/suspects/mod.rs
@@ -45,7 +45,7 @@
 }
 
 /// Records that the server beside this node ran a request with `content` to its end.
-pub(crate) fn note_served(state: &mut TrafficState, now: Timestamp, content: CallerContent) {
+pub(crate) fn record_served_run(state: &mut TrafficState, now: Timestamp, content: CallerContent) {
     state.suspects.note_served(now, &content);
     state.served_lately.note(now, content);
 }
--- a/crates/proxy/src/suspects/permission.rs
+++ b/crates/proxy/src/suspects/permission.rs
@@ -14,8 +14,8 @@
 /// Time after which callers may retry a request that needs a trial run, but whose service has too
 /// few servers for one.
 const SINGLE_SERVER_RETRY_AFTER: Duration = Duration::from_secs(30);
-/// Time after which callers may retry a request whose content is already on trial elsewhere: by
-/// then that trial is over and [`TRIAL_PAUSE`] has passed.
+/// Time after which callers may retry a request while a trial is under way, or if its trial must run
+/// at another server: by then that trial is over and [`TRIAL_PAUSE`] has passed.
 const ONGOING_TRIAL_RETRY_AFTER: Duration = TRIAL_PAUSE;
 
 /// Where a request may run.
