--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -80,7 +80,7 @@
         )?;
         let is_leaving = IntGauge::new(
             "lifthollow_server_leaving",
-            "Whether the server says in its answers that it is leaving.",
+            "Whether the server says in its answers that it leaves.",
         )?;
         registry.register(Box::new(is_leaving.clone()))?;
         Ok(ServerNoticeMetrics {
@@ -99,7 +99,7 @@
             requests: counters(
                 &registry,
                 "lifthollow_requests_total",
-                "Requests of local callers, by the outcome that the caller was answered with.",
+                "Requests of local callers, by what the caller was told.",
                 "outcome",
             )?,
             request_duration: histogram(
@@ -135,7 +135,7 @@
             )?,
             snapshot_era: IntGauge::new(
                 "lifthollow_snapshot_era",
-                "Era of the snapshot: how often the source has been restored from an older copy.",
+                "How often the source has come back from an older copy, as of the snapshot.",
             )?,
             snapshot_revision: IntGauge::new(
                 "lifthollow_snapshot_revision",
@@ -156,13 +156,13 @@
             load: gauges(
                 &registry,
                 "lifthollow_load",
-                "Requests running at and waiting for the server beside this node, and its concurrency limit.",
+                "Load at the server beside this node.",
                 "what",
             )?,
             suspects: gauges(
                 &registry,
                 "lifthollow_suspects",
-                "Contents of requests that may crash servers, suspected or proven.",
+                "Contents of requests that may crash servers, by what is known.",
                 "standing",
             )?,
             tenants: gauges(
@@ -174,12 +174,12 @@
             connections: gauges(
                 &registry,
                 "lifthollow_connections_opened",
-                "Connections opened, to the server beside this node and to other nodes.",
+                "Connections opened.",
                 "to",
             )?,
             log_lines_left_out: IntCounter::new(
                 "lifthollow_log_lines_left_out_total",
-                "Log lines left out by the rate limit of the log.",
+                "Log lines left out to bound their number.",
             )?,
             registry,
         };
