--- a/crates/coordination/src/mesh/admission_queue.rs
+++ b/crates/coordination/src/mesh/admission_queue.rs
@@ -119,7 +119,7 @@
 
     /// Records that other nodes were told this rate limit of the server.
     pub fn note_limit_told_to_others(&mut self, now: Timestamp, limit: RequestRate) {
-        self.rate_gate.others_were_told(now, limit);
+        self.rate_gate.note_limit_told_to_others(now, limit);
     }
 
     /// Whether the server is at its announced rate limit, so that no request may start now.
@@ -223,7 +223,7 @@
     /// Releases the slot of a request that was admitted but never reached the server. Returns the
     /// tickets of waiting requests that now run.
     pub fn release_unused_slot(&mut self, now: Timestamp) -> Vec<Ticket> {
-        self.rate_gate.give_back();
+        self.rate_gate.release_unused_slot();
         self.finish(now, None)
     }
 
--- a/crates/coordination/src/mesh/call.rs
+++ b/crates/coordination/src/mesh/call.rs
@@ -9,7 +9,7 @@
 use lifthollow_state::Timestamp;
 use lifthollow_state::mesh::{InstanceId, Route};
 
-use crate::mesh::server_wanted::Candidates;
+use crate::mesh::server_requirements::Candidates;
 
 /// Retry delay given to the caller of a refused request if no refusing server or node
 /// named one.
@@ -179,7 +179,7 @@
     }
 
     /// When the caller must have its answer: the earlier of the route's timeout and the caller's.
-    pub fn ends(&self) -> Timestamp {
+    pub fn deadline(&self) -> Timestamp {
         self.deadline
     }
 
@@ -200,7 +200,7 @@
 
     /// The delay before the next attempt is sent to `server`; zero unless it refused an earlier
     /// one.
-    pub fn pause_before(&self, server: &InstanceId) -> Duration {
+    pub fn delay_before(&self, server: &InstanceId) -> Duration {
         if self.refused_by.contains(server) {
             REFUSING_SERVER_RETRY_DELAY * self.refused_attempts
         } else {
@@ -209,7 +209,7 @@
     }
 
     /// Whether the request can be sent again although it may have run.
-    pub fn may_repeat(&self) -> bool {
+    pub fn may_retry(&self) -> bool {
         self.idempotent
     }
 
@@ -219,12 +219,12 @@
     }
 
     /// Whether a server may have received the request already.
-    pub fn is_repeat(&self) -> bool {
+    pub fn is_retry(&self) -> bool {
         !self.sent_to.is_empty() || self.is_hedged
     }
 
     /// Whether the node of a failing server may refuse the request, which is allowed once.
-    pub fn may_be_turned_away(&self) -> bool {
+    pub fn may_be_refused_by_failing_server(&self) -> bool {
         !self.was_refused_by_failing
     }
 
@@ -242,14 +242,14 @@
 
     /// Records how the attempt at `server` ended, if it was not answered, and returns the next
     /// step. `is_other_in_progress` tells whether another attempt of the request is still in
-    /// progress. `may_repeat` takes a retry from the retry budget and is called only if a retry
+    /// progress. `may_retry` takes a retry from the retry budget and is called only if a retry
     /// is due.
     pub fn attempt_ended(
         &mut self,
         server: &InstanceId,
         end: &AttemptEnd,
         is_other_in_progress: bool,
-        may_repeat: impl FnOnce() -> bool,
+        may_retry: impl FnOnce() -> bool,
     ) -> NextStep {
         match end {
             AttemptEnd::Answered => {}
@@ -275,7 +275,7 @@
         if is_other_in_progress {
             return NextStep::Wait;
         }
-        if self.may_continue() && (self.sent_to.is_empty() || may_repeat()) {
+        if self.may_continue() && (self.sent_to.is_empty() || may_retry()) {
             return NextStep::Attempt;
         }
         NextStep::Finish(self.give_up())
--- a/crates/coordination/src/mesh/mod.rs
+++ b/crates/coordination/src/mesh/mod.rs
@@ -6,11 +6,11 @@
 //! 2. [`tenants`]: which tenant sent it, and whether the tenant's quota allows another request;
 //! 3. [`weighted_split`]: which of the route's services gets it;
 //! 4. [`call`]: whether another attempt is made, and what the caller is answered;
-//! 5. [`server_selection`]: which server gets the attempt ([`server_wanted`],
+//! 5. [`server_selection`]: which server gets the attempt ([`server_requirements`],
 //!    `server_suitability`);
 //! 6. [`retry_budget`]: whether the fleet's retry bound allows a retry ([`sent_counts`]);
 //! 7. [`server_admission`]: at the server's node, whether the attempt runs, waits
-//!    ([`admission_queue`], `admission_place`) or is refused.
+//!    ([`admission_queue`], `admission_level`) or is refused.
 //!
 //! [`rate_limits`] keeps the request rates of servers below the limits that they announce.
 //!
@@ -27,7 +27,7 @@
 //! [`watchers`] decides which nodes ask the source on behalf of all, and [`view_freshness`] when
 //! the other nodes must ask it.
 
-mod admission_place;
+mod admission_level;
 pub mod admission_queue;
 pub mod call;
 pub mod loss_estimate;
@@ -43,9 +43,9 @@
 pub mod server_admission;
 pub mod server_health;
 mod server_record;
+pub mod server_requirements;
 pub mod server_selection;
 mod server_suitability;
-pub mod server_wanted;
 pub mod snapshot_store;
 pub mod source_following;
 pub mod tenants;
--- a/crates/coordination/src/mesh/nested_calls.rs
+++ b/crates/coordination/src/mesh/nested_calls.rs
@@ -8,9 +8,9 @@
 use lifthollow_protocol::AdmissionLevel;
 use lifthollow_state::{ServiceName, Timestamp};
 
-use crate::mesh::retry_budget::{Repeated, RetryBudgets};
+use crate::mesh::retry_budget::{RetryBudgets, RetryKind};
+use crate::mesh::server_requirements::Purpose;
 use crate::mesh::server_selection::ServerPool;
-use crate::mesh::server_wanted::Purpose;
 
 /// The purpose of an attempt at `service`: whether it is a nested call, and whether the retry
 /// budget would allow a retry of it.
@@ -19,7 +19,7 @@
         return Purpose::Request;
     }
     Purpose::NestedCall {
-        can_be_repeated: budgets.has_room(now, service, Repeated::NestedCall),
+        can_be_retried: budgets.has_room(now, service, RetryKind::NestedCall),
     }
 }
 
--- a/crates/coordination/src/mesh/rate_limits/rate_gate.rs
+++ b/crates/coordination/src/mesh/rate_limits/rate_gate.rs
@@ -42,7 +42,7 @@
     /// Sets a limit that the server announced to another node. It applies until the server answers
     /// this node. Without it, a node that has just restarted would let a burst pass before that
     /// answer.
-    pub fn others_were_told(&mut self, now: Timestamp, limit: RequestRate) {
+    pub fn note_limit_told_to_others(&mut self, now: Timestamp, limit: RequestRate) {
         if self.source == LimitSource::OtherNodes {
             self.set_limit(now, Some(limit));
         }
@@ -80,7 +80,7 @@
     }
 
     /// Returns the token of a request that may pass but did not reach the server.
-    pub fn give_back(&mut self) {
+    pub fn release_unused_slot(&mut self) {
         if self.limit.is_some() {
             self.tokens += 1.0;
         }
--- a/crates/coordination/src/mesh/rate_limits/send_pace.rs
+++ b/crates/coordination/src/mesh/rate_limits/send_pace.rs
@@ -78,8 +78,8 @@
     /// Returns the time until the next attempt may be sent to the server. A server whose limit is
     /// so low that it only gets occasional trials should get no attempt that can't be retried,
     /// because it is likely to refuse it; the maximum interval is returned for such an attempt.
-    pub fn time_until_next(&self, now: Timestamp, may_repeat: bool) -> Duration {
-        if gets_trials_only(self.limit) && !may_repeat {
+    pub fn time_until_next(&self, now: Timestamp, may_retry: bool) -> Duration {
+        if gets_trials_only(self.limit) && !may_retry {
             return MAX_INTERVAL;
         }
         self.next_at.saturating_since(now)
--- a/crates/coordination/src/mesh/request_tree.rs
+++ b/crates/coordination/src/mesh/request_tree.rs
@@ -36,7 +36,7 @@
     /// The priority of the request tree, which determines the order of load shedding.
     pub priority: Priority,
     /// Whether the run was a retry, which makes its calls count as retries too.
-    pub is_repeat: bool,
+    pub is_retry: bool,
 }
 
 /// The requests that this node's local server is running.
--- a/crates/coordination/src/mesh/retry_budget.rs
+++ b/crates/coordination/src/mesh/retry_budget.rs
@@ -51,19 +51,19 @@
 
 /// The kind of attempt that a retry repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeated {
+pub enum RetryKind {
     /// A request of a caller, the root of its tree.
     Request,
     /// A call that a server makes for a request that it runs.
     NestedCall,
 }
 
-impl Repeated {
+impl RetryKind {
     /// The part of [`FleetRetryBound::ratio`] that retries of this kind may use.
     fn share(self) -> f64 {
         match self {
-            Repeated::Request => REQUEST_SHARE,
-            Repeated::NestedCall => NESTED_SHARE,
+            RetryKind::Request => REQUEST_SHARE,
+            RetryKind::NestedCall => NESTED_SHARE,
         }
     }
 }
@@ -111,7 +111,7 @@
     }
 
     /// Records that a request was sent to `service` for the first time.
-    pub fn deposit(&mut self, now: Timestamp, service: &str) {
+    pub fn record_request(&mut self, now: Timestamp, service: &str) {
         let earned = self.bound.ratio * REQUEST_SHARE;
         let bucket_length = self.bucket_length();
         let service_budget = self.service_budget(now, service);
@@ -121,17 +121,17 @@
     }
 
     /// Takes one retry to `service` from the budget. Returns false if the budget is used up.
-    pub fn withdraw(&mut self, now: Timestamp, service: &str, repeated: Repeated) -> bool {
-        let is_allowed = self.has_room(now, service, repeated);
+    pub fn try_take_retry(&mut self, now: Timestamp, service: &str, retry_kind: RetryKind) -> bool {
+        let is_allowed = self.has_room(now, service, retry_kind);
         if is_allowed {
             self.count_retry(now, service);
         }
         is_allowed
     }
 
-    /// Whether [`withdraw`](Self::withdraw) would allow one retry.
-    pub fn has_room(&self, now: Timestamp, service: &str, repeated: Repeated) -> bool {
-        let (share, fixed) = (self.bound.ratio * repeated.share(), self.node_fixed());
+    /// Whether [`try_take_retry`](Self::try_take_retry) would allow one retry.
+    pub fn has_room(&self, now: Timestamp, service: &str, retry_kind: RetryKind) -> bool {
+        let (share, fixed) = (self.bound.ratio * retry_kind.share(), self.node_fixed());
         let service_budget = self.by_service.get(service);
         service_budget.map_or(fixed >= 1.0, |service_budget| {
             service_budget
@@ -142,14 +142,9 @@
 
     /// Takes one hedge to `service` from the budget. Returns false if the budget or its
     /// part for hedges is used up.
-    pub fn withdraw_for_hedge(
-        &mut self,
-        now: Timestamp,
-        service: &str,
-        repeated: Repeated,
-    ) -> bool {
+    pub fn try_take_hedge(&mut self, now: Timestamp, service: &str, retry_kind: RetryKind) -> bool {
         if self.service_budget(now, service).available_hedges < 1.0
-            || !self.withdraw(now, service, repeated)
+            || !self.try_take_retry(now, service, retry_kind)
         {
             return false;
         }
@@ -158,7 +153,7 @@
     }
 
     /// Records that a nested call of a retried run was sent to `service`: it counts as a retry.
-    pub fn inherited(&mut self, now: Timestamp, service: &str) {
+    pub fn record_inherited_retry(&mut self, now: Timestamp, service: &str) {
         self.count_retry(now, service);
     }
 
--- a/crates/coordination/src/mesh/server_admission.rs
+++ b/crates/coordination/src/mesh/server_admission.rs
@@ -14,7 +14,7 @@
 
 use crate::inbound::InboundId;
 use crate::inbound::admission_threshold::{self, AdmissionThreshold};
-use crate::mesh::admission_place::{level_at_server, queue_rank, tree_level_of_nested};
+use crate::mesh::admission_level::{level_at_server, queue_rank, tree_level_of_nested};
 use crate::mesh::admission_queue::{Admission, AdmissionQueue, Occupancy, Ticket};
 use crate::mesh::call::NotRunReason;
 use crate::mesh::processor_admission::ProcessorAdmission;
@@ -33,20 +33,20 @@
     pub is_nested: bool,
     /// Whether a server may already have run the request, or the request that a nested call is
     /// made for.
-    pub is_repeat: bool,
+    pub is_retry: bool,
     /// When the caller's node stops waiting for the answer.
     pub deadline: Timestamp,
     /// Maximum time that the attempt can wait in the queue.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// The zone in which the request originated.
     pub zone: String,
     /// Whether another server has free slots for the attempt.
-    pub may_go_elsewhere: bool,
+    pub has_alternative: bool,
 }
 
 /// The admission decision on an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     /// The attempt runs now.
     Run,
     /// The attempt waits until a call such as [`ServerAdmission::finish`] returns its ticket.
@@ -130,7 +130,7 @@
 
     /// Records the notice in an answer of `server`. Returns the tickets of waiting attempts that
     /// now run.
-    pub fn server_noticed(
+    pub fn record_notice(
         &mut self,
         now: Timestamp,
         server: &InstanceId,
@@ -146,12 +146,12 @@
 
     /// Waiting attempts whose expected wait under the server's current rate limit exceeds their
     /// maximum wait.
-    pub fn waiting_in_vain(&self, now: Timestamp) -> Vec<Ticket> {
+    pub fn waits_exceeding_patience(&self, now: Timestamp) -> Vec<Ticket> {
         self.queue.waits_exceeding_patience(now)
     }
 
     /// Records that the node that sent an attempt was told this rate limit of the server.
-    pub fn others_were_told(&mut self, now: Timestamp, limit: RequestRate) {
+    pub fn note_limit_told_to_others(&mut self, now: Timestamp, limit: RequestRate) {
         self.queue.note_limit_told_to_others(now, limit);
     }
 
@@ -162,7 +162,7 @@
 
     /// Whether `server` is the local server and says in its answers that it is leaving. This holds
     /// even if its entry has been removed.
-    pub fn says_it_leaves(&self, server: &InstanceId) -> bool {
+    pub fn is_leaving(&self, server: &InstanceId) -> bool {
         let own = self.server.as_ref();
         self.notice.is_leaving && own.is_some_and(|own| own.is_same_server(server))
     }
@@ -206,31 +206,31 @@
 
     /// Decides whether an attempt that arrived runs, waits or is refused. `level_of` returns the
     /// lowest level that a service admits.
-    pub fn arrive(
+    pub fn admit(
         &mut self,
         now: Timestamp,
         attempt: &ArrivingAttempt,
         level_of: impl Fn(&ServiceName) -> AdmissionLevel,
-    ) -> Verdict {
+    ) -> AdmissionDecision {
         if !self.queue.allows_attempt(now) {
             return refusal(NotRunReason::ServerUnreachable, None);
         }
-        if attempt.may_go_elsewhere && self.health.should_refuse(now, &attempt.zone) {
+        if attempt.has_alternative && self.health.should_refuse(now, &attempt.zone) {
             return refusal(NotRunReason::ServerFailing, None);
         }
         if !attempt.is_nested && !self.is_admitted_downstream(now, attempt.priority, level_of) {
             return refusal(NotRunReason::DownstreamOverloaded, None);
         }
         let is_at_rate_limit = self.queue.is_at_rate_limit(now);
-        if attempt.may_go_elsewhere && is_at_rate_limit {
+        if attempt.has_alternative && is_at_rate_limit {
             return refusal(NotRunReason::RateLimited, None);
         }
         self.observe(now);
         self.threshold.arrived(level_at_server(attempt));
         self.processor.arrived(now, level_at_server(attempt));
-        match self.queue.admit(now, queue_rank(attempt), attempt.patience) {
-            Admission::Run => Verdict::Run,
-            Admission::Wait(ticket) => Verdict::Wait(ticket),
+        match self.queue.admit(now, queue_rank(attempt), attempt.max_wait) {
+            Admission::Run => AdmissionDecision::Run,
+            Admission::Wait(ticket) => AdmissionDecision::Wait(ticket),
             Admission::Refuse { retry_after } => {
                 self.threshold.turned_away();
                 let reason = match is_at_rate_limit {
@@ -262,7 +262,7 @@
         let inherited = Parent {
             run,
             priority: attempt.priority,
-            is_repeat: attempt.is_repeat,
+            is_retry: attempt.is_retry,
         };
         self.running
             .started(&attempt.request_id, attempt.deadline, inherited);
@@ -296,7 +296,7 @@
 
     /// Releases the slot of an attempt that was admitted but never reached the server. Returns the
     /// tickets of waiting attempts that now run.
-    pub fn give_back(&mut self, now: Timestamp) -> Vec<Ticket> {
+    pub fn release_unused_slot(&mut self, now: Timestamp) -> Vec<Ticket> {
         self.queue.release_unused_slot(now)
     }
 
@@ -344,13 +344,13 @@
     }
 
     /// Records that the node's thread was woken `lateness` later than requested.
-    pub fn woken_late(&mut self, now: Timestamp, lateness: Duration) {
+    pub fn record_lateness(&mut self, now: Timestamp, lateness: Duration) {
         self.processor.observe(now, lateness);
     }
 
     /// The lowest level that the node's own processor has time for, and how much later than
     /// requested the node's thread was last woken.
-    pub fn processor(&self) -> (AdmissionLevel, Duration) {
+    pub fn processor_level_and_lateness(&self) -> (AdmissionLevel, Duration) {
         (self.processor.level(), self.processor.lateness())
     }
 
@@ -397,8 +397,8 @@
     }
 }
 
-fn refusal(reason: NotRunReason, retry_after: Option<Duration>) -> Verdict {
-    Verdict::Refuse {
+fn refusal(reason: NotRunReason, retry_after: Option<Duration>) -> AdmissionDecision {
+    AdmissionDecision::Refuse {
         reason,
         retry_after,
     }
--- a/crates/coordination/src/mesh/server_record.rs
+++ b/crates/coordination/src/mesh/server_record.rs
@@ -148,9 +148,9 @@
     }
 
     /// The time until another attempt should be sent to the server under its rate limit.
-    pub(super) fn time_until_next(&self, now: Timestamp, may_repeat: bool) -> Duration {
+    pub(super) fn time_until_next(&self, now: Timestamp, may_retry: bool) -> Duration {
         let pace = self.send_pace.as_ref();
-        pace.map_or(Duration::ZERO, |pace| pace.time_until_next(now, may_repeat))
+        pace.map_or(Duration::ZERO, |pace| pace.time_until_next(now, may_retry))
     }
 
     pub(super) fn set_eligibility(&mut self, eligibility: Eligibility) {
--- a/crates/coordination/src/mesh/server_wanted.rs
+++ b/crates/coordination/src/mesh/server_requirements.rs
@@ -32,11 +32,11 @@
 
 /// The requirements of an attempt on the server that it is sent to.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct ServerRequirements<'a> {
     /// The servers that the attempt may go to.
     pub candidates: &'a Candidates,
     /// Whether the request can be retried if the answer is lost.
-    pub may_repeat: bool,
+    pub may_retry: bool,
     /// Whether the attempt is a caller's request or a nested call.
     pub purpose: Purpose,
 }
@@ -49,7 +49,7 @@
     /// A call made by a run on another server, which fails if any of its calls fails.
     NestedCall {
         /// Whether the retry budget would allow a retry if the attempt failed.
-        can_be_repeated: bool,
+        can_be_retried: bool,
     },
 }
 
@@ -63,7 +63,7 @@
         matches!(
             self,
             Purpose::NestedCall {
-                can_be_repeated: false
+                can_be_retried: false
             }
         )
     }
--- a/crates/coordination/src/mesh/server_selection/mod.rs
+++ b/crates/coordination/src/mesh/server_selection/mod.rs
@@ -19,8 +19,8 @@
 use crate::latency::LatencyEstimate;
 use crate::mesh::reported_load::ReportedLoad;
 use crate::mesh::server_record::{Eligibility, ServerRecord};
+use crate::mesh::server_requirements::ServerRequirements;
 use crate::mesh::server_suitability::{Suitability, is_failing};
-use crate::mesh::server_wanted::Wanted;
 
 pub use service_levels::KnownLoad;
 
@@ -114,11 +114,13 @@
         &self,
         now: Timestamp,
         service: &str,
-        wanted: Wanted<'_>,
+        requirements: ServerRequirements<'_>,
         random: &mut impl Rng,
     ) -> Option<Choice> {
         let servers = self.by_service.get(service)?;
-        let allowed = servers.iter().filter(|id| wanted.candidates.include(id));
+        let allowed = servers
+            .iter()
+            .filter(|id| requirements.candidates.include(id));
         let usable = || {
             let records = allowed.clone().filter_map(|id| self.records.get(id));
             records.filter(|record| !record.is_withdrawn(now))
@@ -126,10 +128,11 @@
         let best = usable()
             .map(|record| {
                 let is_suspect = record.eligibility(now) != Eligibility::Eligible;
-                let is_failing = wanted.purpose.must_succeed() && is_failing(now, record);
+                let is_failing = requirements.purpose.must_succeed() && is_failing(now, record);
                 let jitter = random.random::<f64>() * MAX_COST_JITTER;
-                let suitability = Suitability::of(now, record, &self.own_zone, wanted.may_repeat);
-                let wait = record.time_until_next(now, wanted.may_repeat);
+                let suitability =
+                    Suitability::of(now, record, &self.own_zone, requirements.may_retry);
+                let wait = record.time_until_next(now, requirements.may_retry);
                 let penalties = (
                     is_suspect,
                     is_failing,
@@ -147,7 +150,9 @@
         let has_alternative = usable()
             .filter(|record| record.instance.id != server.id)
             .any(|record| {
-                let may_get_more = record.time_until_next(now, wanted.may_repeat).is_zero();
+                let may_get_more = record
+                    .time_until_next(now, requirements.may_retry)
+                    .is_zero();
                 may_get_more && is_healthy(now, record)
             });
         Some(Choice {
--- a/crates/coordination/src/mesh/server_selection/service_levels.rs
+++ b/crates/coordination/src/mesh/server_selection/service_levels.rs
@@ -7,8 +7,8 @@
 
 use super::ServerPool;
 use crate::mesh::server_record::{Eligibility, ServerRecord};
+use crate::mesh::server_requirements::Purpose;
 use crate::mesh::server_suitability::is_failing;
-use crate::mesh::server_wanted::Purpose;
 
 /// Time for which a reported admission level is valid. After that, it decays exponentially.
 const LEVEL_VALIDITY: Duration = Duration::from_millis(250);
--- a/crates/coordination/src/mesh/server_suitability.rs
+++ b/crates/coordination/src/mesh/server_suitability.rs
@@ -37,15 +37,15 @@
 }
 
 impl Suitability {
-    /// Rates the server for an attempt sent from `own_zone`. `may_repeat` tells whether the
+    /// Rates the server for an attempt sent from `own_zone`. `may_retry` tells whether the
     /// request can be retried if its answer is lost.
     pub(super) fn of(
         now: Timestamp,
         record: &ServerRecord,
         own_zone: &str,
-        may_repeat: bool,
+        may_retry: bool,
     ) -> Self {
-        let penalty = if may_repeat {
+        let penalty = if may_retry {
             LOSS_PENALTY
         } else {
             LOSS_PENALTY_WITHOUT_RETRY
--- a/crates/coordination/src/outbound/call_state.rs
+++ b/crates/coordination/src/outbound/call_state.rs
@@ -127,7 +127,7 @@
 
     /// Whether the call could be sent again if the answer to its attempt were
     /// lost.
-    pub fn may_repeat(&self) -> bool {
+    pub fn may_retry(&self) -> bool {
         self.call.repeatable && self.call.replayable && self.allowance > 0
     }
 
--- a/crates/coordination/src/outbound/routing.rs
+++ b/crates/coordination/src/outbound/routing.rs
@@ -120,7 +120,7 @@
             priority: state.call.context.priority,
             tried: &[],
             side: None,
-            may_use_half_open: state.may_repeat(),
+            may_use_half_open: state.may_retry(),
             needs_capacity: false,
         };
         edge.budget.deposit();
--- a/crates/coordination/tests/mesh_admission.rs
+++ b/crates/coordination/tests/mesh_admission.rs
@@ -7,7 +7,9 @@
 use lifthollow_coordination::mesh::request_tree::{
     Parent, RequestRank, RunningRequests, priority_of_request,
 };
-use lifthollow_coordination::mesh::server_admission::{ArrivingAttempt, ServerAdmission, Verdict};
+use lifthollow_coordination::mesh::server_admission::{
+    AdmissionDecision, ArrivingAttempt, ServerAdmission,
+};
 use lifthollow_coordination::mesh::server_health::RunEnd;
 use lifthollow_protocol::AdmissionLevel;
 use lifthollow_state::{Priority, PriorityClass, ServiceName, Timestamp};
@@ -25,11 +27,11 @@
         request_id: id.to_owned(),
         priority: Priority { class, user },
         is_nested: false,
-        is_repeat: false,
+        is_retry: false,
         deadline: at(100_000),
-        patience: ms(500),
+        max_wait: ms(500),
         zone: "a".to_owned(),
-        may_go_elsewhere: false,
+        has_alternative: false,
     }
 }
 
@@ -48,15 +50,15 @@
 fn full_server(now: Timestamp) -> ServerAdmission {
     let mut admission = ServerAdmission::new("feeds", LIMIT);
     for run in 0..LIMIT {
-        let verdict = admission.arrive(now, &sheddable(&run.to_string(), 0), open);
-        assert_eq!(verdict, Verdict::Run);
+        let verdict = admission.admit(now, &sheddable(&run.to_string(), 0), open);
+        assert_eq!(verdict, AdmissionDecision::Run);
     }
     admission
 }
 
 /// Releases one slot and returns the ticket numbers of the attempts that run then.
 fn release_slot_and_start_next(admission: &mut ServerAdmission, now: Timestamp) -> Vec<u64> {
-    let tickets = admission.give_back(now);
+    let tickets = admission.release_unused_slot(now);
     tickets.into_iter().map(|ticket| ticket.0).collect()
 }
 
@@ -71,17 +73,17 @@
 #[test]
 fn concurrent_runs_never_exceed_the_limit() {
     let mut admission = full_server(at(0));
-    let verdict = admission.arrive(at(0), &sheddable("more", 0), open);
-    assert!(matches!(verdict, Verdict::Wait(_)));
+    let verdict = admission.admit(at(0), &sheddable("more", 0), open);
+    assert!(matches!(verdict, AdmissionDecision::Wait(_)));
     assert_eq!(admission.occupancy().running, LIMIT);
 }
 
 #[test]
 fn more_important_requests_start_first() {
     let mut admission = full_server(at(0));
-    admission.arrive(at(0), &sheddable("low", 3), open);
-    admission.arrive(at(0), &attempt("high", PriorityClass::Critical, 0), open);
-    admission.arrive(at(0), &sheddable("middle", 90), open);
+    admission.admit(at(0), &sheddable("low", 3), open);
+    admission.admit(at(0), &attempt("high", PriorityClass::Critical, 0), open);
+    admission.admit(at(0), &sheddable("middle", 90), open);
     assert_eq!(release_slot_and_start_next(&mut admission, at(1)), [1]);
     assert_eq!(release_slot_and_start_next(&mut admission, at(1)), [2]);
     assert_eq!(release_slot_and_start_next(&mut admission, at(1)), [0]);
@@ -90,16 +92,16 @@
 #[test]
 fn nested_calls_go_before_callers_requests_of_their_class() {
     let mut admission = full_server(at(0));
-    admission.arrive(at(0), &sheddable("page", 60), open);
-    admission.arrive(at(0), &nested("call", 5), open);
+    admission.admit(at(0), &sheddable("page", 60), open);
+    admission.admit(at(0), &nested("call", 5), open);
     assert_eq!(release_slot_and_start_next(&mut admission, at(1)), [1]);
 }
 
 #[test]
 fn important_request_goes_before_nested_calls_of_a_lower_class() {
     let mut admission = full_server(at(0));
-    admission.arrive(at(0), &nested("call", 127), open);
-    admission.arrive(at(0), &attempt("charge", PriorityClass::Critical, 0), open);
+    admission.admit(at(0), &nested("call", 127), open);
+    admission.admit(at(0), &attempt("charge", PriorityClass::Critical, 0), open);
     assert_eq!(release_slot_and_start_next(&mut admission, at(1)), [1]);
 }
 
@@ -107,9 +109,9 @@
 fn request_that_would_wait_too_long_is_refused_at_once() {
     let mut admission = full_server(at(0));
     let mut hasty = sheddable("hasty", 0);
-    hasty.patience = ms(1);
-    let verdict = admission.arrive(at(0), &hasty, open);
-    let Verdict::Refuse {
+    hasty.max_wait = ms(1);
+    let verdict = admission.admit(at(0), &hasty, open);
+    let AdmissionDecision::Refuse {
         reason,
         retry_after,
     } = verdict
@@ -124,7 +126,7 @@
 fn withdrawn_request_does_not_run_later() {
     let mut admission = full_server(at(0));
     let waiting = sheddable("waiting", 0);
-    let Verdict::Wait(ticket) = admission.arrive(at(0), &waiting, open) else {
+    let AdmissionDecision::Wait(ticket) = admission.admit(at(0), &waiting, open) else {
         panic!("the attempt runs although all slots are taken");
     };
     assert!(admission.withdraw(&waiting, ticket, true));
@@ -136,17 +138,17 @@
 fn unresponsive_server_gets_one_trial_request_at_a_time() {
     let mut admission = ServerAdmission::new("feeds", LIMIT);
     assert_eq!(
-        admission.arrive(at(0), &sheddable("first", 0), open),
-        Verdict::Run
+        admission.admit(at(0), &sheddable("first", 0), open),
+        AdmissionDecision::Run
     );
     assert!(!admission.is_silent(at(500)));
     assert!(admission.is_silent(at(1000)));
     assert_eq!(
-        admission.arrive(at(1000), &sheddable("trial", 0), open),
-        Verdict::Run
+        admission.admit(at(1000), &sheddable("trial", 0), open),
+        AdmissionDecision::Run
     );
-    let verdict = admission.arrive(at(1100), &sheddable("next", 0), open);
-    let unreachable = Verdict::Refuse {
+    let verdict = admission.admit(at(1100), &sheddable("next", 0), open);
+    let unreachable = AdmissionDecision::Refuse {
         reason: NotRunReason::ServerUnreachable,
         retry_after: None,
     };
@@ -163,7 +165,7 @@
         now = now + ms(5);
         for copy in 0..arrivals_per_run {
             let user = (round * 37 + copy * 61) % 128;
-            admission.arrive(now, &nested(&format!("{round}-{copy}"), user as u8), open);
+            admission.admit(now, &nested(&format!("{round}-{copy}"), user as u8), open);
         }
         admission.finish(
             now,
@@ -194,7 +196,10 @@
     let mut admission = ServerAdmission::new("feeds", LIMIT);
     for number in 0..30 {
         let request = sheddable(&number.to_string(), 0);
-        assert_eq!(admission.arrive(at(number), &request, open), Verdict::Run);
+        assert_eq!(
+            admission.admit(at(number), &request, open),
+            AdmissionDecision::Run
+        );
         let run = admission.started(at(number), &request);
         admission.called(run, "media");
         admission.answered(at(number), run, true);
@@ -204,30 +209,30 @@
         "media" => AdmissionLevel(100),
         _ => AdmissionLevel::OPEN,
     };
-    let low = admission.arrive(at(100), &sheddable("low", 50), closed_to_most);
+    let low = admission.admit(at(100), &sheddable("low", 50), closed_to_most);
     assert!(matches!(
         low,
-        Verdict::Refuse {
+        AdmissionDecision::Refuse {
             reason: NotRunReason::DownstreamOverloaded,
             ..
         }
     ));
-    let high = admission.arrive(at(100), &sheddable("high", 120), closed_to_most);
-    assert_eq!(high, Verdict::Run);
-    let begun = admission.arrive(at(100), &nested("begun", 50), closed_to_most);
+    let high = admission.admit(at(100), &sheddable("high", 120), closed_to_most);
+    assert_eq!(high, AdmissionDecision::Run);
+    let begun = admission.admit(at(100), &nested("begun", 50), closed_to_most);
     assert_eq!(
         begun,
-        Verdict::Run,
+        AdmissionDecision::Run,
         "nested calls of admitted trees must run"
     );
     assert_eq!(admission.level(false, closed_to_most), AdmissionLevel(100));
 }
 
-fn parent(run: u64, is_repeat: bool) -> Parent {
+fn parent(run: u64, is_retry: bool) -> Parent {
     Parent {
         run: InboundId(run),
         priority: priority_of_request(route_rank(0), "root"),
-        is_repeat,
+        is_retry,
     }
 }
 
@@ -239,7 +244,7 @@
     let by_request_id = running
         .parent_of("bb.cc", at(1000))
         .expect("no run with the ID prefix found");
-    assert!(by_request_id.is_repeat);
+    assert!(by_request_id.is_retry);
     let by_deadline = running
         .parent_of("zz", at(1001))
         .expect("no run with the deadline found");
@@ -277,21 +282,24 @@
     let mut admission = ServerAdmission::new("feeds", LIMIT);
     for number in 0..10 {
         let request = sheddable(&number.to_string(), 0);
-        assert_eq!(admission.arrive(at(number), &request, open), Verdict::Run);
+        assert_eq!(
+            admission.admit(at(number), &request, open),
+            AdmissionDecision::Run
+        );
         let run = admission.started(at(number), &request);
         admission.finish(at(number), &request, run, RunEnd::Failed, None);
     }
     let elsewhere = ArrivingAttempt {
-        may_go_elsewhere: true,
+        has_alternative: true,
         ..sheddable("elsewhere", 0)
     };
-    let refused = Verdict::Refuse {
+    let refused = AdmissionDecision::Refuse {
         reason: NotRunReason::ServerFailing,
         retry_after: None,
     };
-    assert_eq!(admission.arrive(at(20), &elsewhere, open), refused);
+    assert_eq!(admission.admit(at(20), &elsewhere, open), refused);
     let here = sheddable("here", 0);
-    assert_eq!(admission.arrive(at(20), &here, open), Verdict::Run);
+    assert_eq!(admission.admit(at(20), &here, open), AdmissionDecision::Run);
 }
 
 #[test]
@@ -340,7 +348,10 @@
     let mut admission = ServerAdmission::new("feeds", LIMIT);
     for number in 0..40 {
         let request = sheddable(&number.to_string(), 0);
-        assert_eq!(admission.arrive(at(0), &request, open), Verdict::Run);
+        assert_eq!(
+            admission.admit(at(0), &request, open),
+            AdmissionDecision::Run
+        );
         run_calling(&mut admission, &request, Some("ledger"));
     }
     admission
@@ -363,8 +374,8 @@
     let no_server = |_: &ServiceName| AdmissionLevel::CLOSED;
     let arrive = |admission: &mut ServerAdmission, milliseconds: u64| {
         let request = sheddable("later", 127);
-        let verdict = admission.arrive(at(milliseconds), &request, no_server);
-        matches!(verdict, Verdict::Run)
+        let verdict = admission.admit(at(milliseconds), &request, no_server);
+        matches!(verdict, AdmissionDecision::Run)
     };
     assert!(
         arrive(&mut admission, 1000),
@@ -390,7 +401,7 @@
     let trials = (0..100).filter(|number| {
         let now = at(1000 + number * 300);
         let request = sheddable("later", 0);
-        let runs = admission.arrive(now, &request, no_server) == Verdict::Run;
+        let runs = admission.admit(now, &request, no_server) == AdmissionDecision::Run;
         if runs {
             run_calling(&mut admission, &request, None);
         }
--- a/crates/coordination/tests/mesh_attempts.rs
+++ b/crates/coordination/tests/mesh_attempts.rs
@@ -9,8 +9,8 @@
 use lifthollow_coordination::mesh::nested_calls;
 use lifthollow_coordination::mesh::reported_load::ReportedLoad;
 use lifthollow_coordination::mesh::retry_budget::{FleetRetryBound, RetryBudgets};
+use lifthollow_coordination::mesh::server_requirements::{Candidates, Purpose, ServerRequirements};
 use lifthollow_coordination::mesh::server_selection::ServerPool;
-use lifthollow_coordination::mesh::server_wanted::{Candidates, Purpose, Wanted};
 use lifthollow_protocol::AdmissionLevel;
 use lifthollow_state::ServiceName;
 use lifthollow_state::mesh::RequestKind;
@@ -69,7 +69,7 @@
         !call.is_new(),
         "a second attempt must not count as a new request in the retry budget"
     );
-    assert!(!call.is_repeat());
+    assert!(!call.is_retry());
 }
 
 #[test]
@@ -103,11 +103,11 @@
     let candidates: Vec<Candidates> = call.candidates().collect();
     let another = Candidates::AllBut(vec![id("i-1")]);
     assert_eq!(candidates, [another, Candidates::Only(vec![id("i-1")])]);
-    assert_eq!(call.pause_before(&id("i-2")), ms(0));
-    let first_pause = call.pause_before(&id("i-1"));
-    assert!(first_pause > ms(0));
+    assert_eq!(call.delay_before(&id("i-2")), ms(0));
+    let first_delay = call.delay_before(&id("i-1"));
+    assert!(first_delay > ms(0));
     call.attempt_ended(&id("i-1"), &refused, NO_OTHER, || true);
-    assert!(call.pause_before(&id("i-1")) > first_pause);
+    assert!(call.delay_before(&id("i-1")) > first_delay);
 }
 
 #[test]
@@ -159,9 +159,9 @@
 #[test]
 fn answer_is_due_at_the_earlier_of_timeout_and_deadline() {
     let call = Call::new(at(100), &route("any", "/"), Some(ms(5000)));
-    assert_eq!(call.ends(), at(900));
+    assert_eq!(call.deadline(), at(900));
     let call = Call::new(at(100), &route("any", "/"), Some(ms(300)));
-    assert_eq!(call.ends(), at(400));
+    assert_eq!(call.deadline(), at(400));
 }
 
 #[test]
@@ -179,9 +179,9 @@
 #[test]
 fn attempt_beside_a_silent_server_is_a_repeat() {
     let mut call = Call::new(at(0), &route("any", "/"), None);
-    assert!(!call.is_repeat());
+    assert!(!call.is_retry());
     call.hedge(&id("i-1"));
-    assert!(call.is_repeat());
+    assert!(call.is_retry());
 }
 
 #[test]
@@ -192,9 +192,9 @@
     assert_eq!(next, NextStep::Wait);
 }
 
-const ANY: Wanted<'static> = Wanted {
+const ANY: ServerRequirements<'static> = ServerRequirements {
     candidates: &Candidates::ALL,
-    may_repeat: true,
+    may_retry: true,
     purpose: Purpose::Request,
 };
 
@@ -364,8 +364,8 @@
     pool.lost(at(0), &id("i-a"));
     pool.heard(at(0), &id("i-a"), None, None);
     assert_eq!(chosen(&pool, 0), "i-a");
-    let once = Wanted {
-        may_repeat: false,
+    let once = ServerRequirements {
+        may_retry: false,
         ..ANY
     };
     let server = pool.choose(at(0), "feeds", once, &mut random());
@@ -414,9 +414,9 @@
 
 /// A nested call that the retry budget would not allow to retry.
 const NOT_RETRYABLE_CALL: Purpose = Purpose::NestedCall {
-    can_be_repeated: false,
+    can_be_retried: false,
 };
-const NOT_RETRYABLE: Wanted<'static> = Wanted {
+const NOT_RETRYABLE: ServerRequirements<'static> = ServerRequirements {
     purpose: NOT_RETRYABLE_CALL,
     ..ANY
 };
@@ -450,9 +450,9 @@
         "i-c",
         "a caller's request must go to a server with free slots"
     );
-    let repeatable = Wanted {
+    let repeatable = ServerRequirements {
         purpose: Purpose::NestedCall {
-            can_be_repeated: true,
+            can_be_retried: true,
         },
         ..ANY
     };
@@ -463,7 +463,7 @@
         "a call that can be retried must go to a server with free slots"
     );
     let others = Candidates::AllBut(vec![id("i-c")]);
-    let without = Wanted {
+    let without = ServerRequirements {
         candidates: &others,
         ..NOT_RETRYABLE
     };
@@ -505,11 +505,11 @@
 #[test]
 fn request_is_refused_by_a_failing_server_at_most_once() {
     let mut call = Call::new(at(0), &route("any", "/"), None);
-    assert!(call.may_be_turned_away());
+    assert!(call.may_be_refused_by_failing_server());
     let refused = not_run(false, NotRunReason::ServerFailing);
     let next = call.attempt_ended(&id("i-1"), &refused, NO_OTHER, || panic!("not a retry"));
     assert_eq!(next, NextStep::Attempt);
-    assert!(!call.may_be_turned_away());
+    assert!(!call.may_be_refused_by_failing_server());
 }
 
 #[test]
--- a/crates/coordination/tests/mesh_budget.rs
+++ b/crates/coordination/tests/mesh_budget.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use lifthollow_coordination::mesh::retry_budget::{FleetRetryBound, Repeated, RetryBudgets};
+use lifthollow_coordination::mesh::retry_budget::{FleetRetryBound, RetryBudgets, RetryKind};
 use mesh_support::at;
 use quickcheck::quickcheck;
 
@@ -19,13 +19,13 @@
 #[test]
 fn nested_calls_of_retried_runs_count_as_retries() {
     let mut budgets = RetryBudgets::new(bound());
-    assert!(budgets.withdraw(at(0), "feeds", Repeated::Request));
+    assert!(budgets.try_take_retry(at(0), "feeds", RetryKind::Request));
     for _ in 0..20 {
-        budgets.inherited(at(0), "feeds");
+        budgets.record_inherited_retry(at(0), "feeds");
     }
-    assert!(!budgets.withdraw(at(1000), "feeds", Repeated::Request));
+    assert!(!budgets.try_take_retry(at(1000), "feeds", RetryKind::Request));
     assert!(
-        budgets.withdraw(at(1000), "media", Repeated::Request),
+        budgets.try_take_retry(at(1000), "media", RetryKind::Request),
         "retries to one service must not reduce the budget of another"
     );
 }
@@ -42,10 +42,10 @@
     for millisecond in 0..30_000_u64 {
         let node = millisecond as usize % NODES;
         if millisecond % 10 == 0 {
-            budgets[node].deposit(at(millisecond), "feeds");
+            budgets[node].record_request(at(millisecond), "feeds");
             requests += 1;
         }
-        if budgets[node].withdraw(at(millisecond), "feeds", Repeated::Request) {
+        if budgets[node].try_take_retry(at(millisecond), "feeds", RetryKind::Request) {
             retries_at.push(millisecond);
         }
     }
@@ -78,10 +78,10 @@
     // once: 4% of the requests of a window.
     for request in 0..15_000_usize {
         let node = &mut budgets[request % NODES];
-        node.deposit(at(request as u64 / 3), "feeds");
+        node.record_request(at(request as u64 / 3), "feeds");
     }
     let repeated = (0..12 * NODES)
-        .filter(|lost| budgets[lost % NODES].withdraw(at(5000), "feeds", Repeated::Request));
+        .filter(|lost| budgets[lost % NODES].try_take_retry(at(5000), "feeds", RetryKind::Request));
     assert_eq!(repeated.count(), 12 * NODES);
 }
 
@@ -89,32 +89,32 @@
 fn checking_for_a_retry_does_not_use_up_the_budget() {
     let mut budgets = RetryBudgets::new(bound());
     let mut left = 0;
-    while budgets.has_room(at(0), "feeds", Repeated::Request) {
-        assert!(budgets.withdraw(at(0), "feeds", Repeated::Request));
+    while budgets.has_room(at(0), "feeds", RetryKind::Request) {
+        assert!(budgets.try_take_retry(at(0), "feeds", RetryKind::Request));
         left += 1;
     }
     assert!(left > 0, "the fixed number must allow some retries");
-    assert!(!budgets.withdraw(at(0), "feeds", Repeated::Request));
+    assert!(!budgets.try_take_retry(at(0), "feeds", RetryKind::Request));
     let later = at(30_000);
-    assert!(budgets.has_room(later, "feeds", Repeated::Request));
+    assert!(budgets.has_room(later, "feeds", RetryKind::Request));
 }
 
 #[test]
 fn requests_still_expire_after_the_window_was_changed() {
     let mut budgets = RetryBudgets::new(bound());
     budgets.set_nodes(400);
-    budgets.deposit(at(60_000), "feeds");
+    budgets.record_request(at(60_000), "feeds");
     let longer = FleetRetryBound {
         window: Duration::from_secs(40),
         ..bound()
     };
     budgets.set_bound(longer);
     for request in 0..100 {
-        budgets.deposit(at(60_000 + request), "feeds");
+        budgets.record_request(at(60_000 + request), "feeds");
     }
-    assert!(budgets.has_room(at(61_000), "feeds", Repeated::Request));
+    assert!(budgets.has_room(at(61_000), "feeds", RetryKind::Request));
     let much_later = at(60_000 + 90_000);
-    assert!(!budgets.has_room(much_later, "feeds", Repeated::Request));
+    assert!(!budgets.has_room(much_later, "feeds", RetryKind::Request));
 }
 
 #[test]
@@ -122,13 +122,12 @@
     let mut budgets = RetryBudgets::new(bound());
     budgets.set_nodes(95);
     for request in 0..1000 {
-        budgets.deposit(at(request), "feeds");
+        budgets.record_request(at(request), "feeds");
     }
-    let hedges =
-        (0..100).filter(|_| budgets.withdraw_for_hedge(at(1000), "feeds", Repeated::Request));
+    let hedges = (0..100).filter(|_| budgets.try_take_hedge(at(1000), "feeds", RetryKind::Request));
     assert_eq!(hedges.count(), 2);
     assert!(
-        budgets.withdraw(at(1000), "feeds", Repeated::Request),
+        budgets.try_take_retry(at(1000), "feeds", RetryKind::Request),
         "retries must be allowed more than hedges"
     );
 }
@@ -138,11 +137,11 @@
     let mut budgets = RetryBudgets::new(bound());
     budgets.set_nodes(95);
     for request in 0..15 {
-        budgets.deposit(at(request), "feeds");
+        budgets.record_request(at(request), "feeds");
     }
-    assert!(budgets.withdraw(at(20), "feeds", Repeated::Request));
+    assert!(budgets.try_take_retry(at(20), "feeds", RetryKind::Request));
     assert!(
-        !budgets.withdraw_for_hedge(at(20), "feeds", Repeated::Request),
+        !budgets.try_take_hedge(at(20), "feeds", RetryKind::Request),
         "the retry has used up the budget"
     );
 }
@@ -152,10 +151,10 @@
     let mut budgets = RetryBudgets::new(bound());
     budgets.set_nodes(400);
     for request in 0..1000 {
-        budgets.deposit(at(request), "feeds");
+        budgets.record_request(at(request), "feeds");
     }
-    assert!(budgets.withdraw(at(5000), "feeds", Repeated::Request));
-    assert!(!budgets.withdraw(at(16_000), "feeds", Repeated::Request));
+    assert!(budgets.try_take_retry(at(5000), "feeds", RetryKind::Request));
+    assert!(!budgets.try_take_retry(at(16_000), "feeds", RetryKind::Request));
 }
 
 /// Simulates a fleet in steps of 100 ms and returns the largest excess of allowed retries over the
@@ -173,10 +172,10 @@
     for (step, (count, tried)) in requests.iter().zip(tried_retries).enumerate() {
         let now = at(step as u64 * STEP);
         for request in 0..usize::from(*count) {
-            budgets[(step * 7 + request) % nodes].deposit(now, "feeds");
+            budgets[(step * 7 + request) % nodes].record_request(now, "feeds");
         }
         let allowed = (0..usize::from(*tried) * 4).filter(|retry| {
-            budgets[(step * 5 + retry) % nodes].withdraw(now, "feeds", Repeated::NestedCall)
+            budgets[(step * 5 + retry) % nodes].try_take_retry(now, "feeds", RetryKind::NestedCall)
         });
         retries.push(allowed.count());
     }
--- a/crates/coordination/tests/mesh_rate_limits.rs
+++ b/crates/coordination/tests/mesh_rate_limits.rs
@@ -5,9 +5,11 @@
 
 use lifthollow_coordination::mesh::call::NotRunReason;
 use lifthollow_coordination::mesh::rate_limits::{RateGate, SendPace};
-use lifthollow_coordination::mesh::server_admission::{ArrivingAttempt, ServerAdmission, Verdict};
+use lifthollow_coordination::mesh::server_admission::{
+    AdmissionDecision, ArrivingAttempt, ServerAdmission,
+};
+use lifthollow_coordination::mesh::server_requirements::{Candidates, Purpose, ServerRequirements};
 use lifthollow_coordination::mesh::server_selection::ServerPool;
-use lifthollow_coordination::mesh::server_wanted::{Candidates, Purpose, Wanted};
 use lifthollow_protocol::AdmissionLevel;
 use lifthollow_state::mesh::{InstanceId, RequestRate, ServerNotice};
 use lifthollow_state::{Priority, PriorityClass, ServiceName};
@@ -84,7 +86,7 @@
     let mut passed = Vec::new();
     for start in 0..4 {
         let mut gate = RateGate::default();
-        gate.others_were_told(at(start * 1000), rate(8.0));
+        gate.note_limit_told_to_others(at(start * 1000), rate(8.0));
         passed.extend(pass_times(&mut gate, start * 1000, (start + 1) * 1000));
     }
     assert!(passed.len() <= 53, "{}", passed.len());
@@ -94,11 +96,11 @@
 fn limit_reported_by_other_nodes_does_not_override_the_servers_own_announcement() {
     let mut gate = RateGate::default();
     gate.server_named(at(0), None);
-    gate.others_were_told(at(1), rate(1.0));
+    gate.note_limit_told_to_others(at(1), rate(1.0));
     assert!(!gate.is_limited());
     let mut gate = RateGate::default();
     gate.server_started();
-    gate.others_were_told(at(1), rate(1.0));
+    gate.note_limit_told_to_others(at(1), rate(1.0));
     assert!(!gate.is_limited(), "a new start has named nothing");
 }
 
@@ -115,7 +117,7 @@
     AdmissionLevel::OPEN
 }
 
-fn attempt(request_id: &str, user: u8, may_go_elsewhere: bool) -> ArrivingAttempt {
+fn attempt(request_id: &str, user: u8, has_alternative: bool) -> ArrivingAttempt {
     ArrivingAttempt {
         request_id: request_id.to_owned(),
         priority: Priority {
@@ -123,26 +125,26 @@
             user,
         },
         is_nested: false,
-        is_repeat: false,
+        is_retry: false,
         deadline: at(100_000),
-        patience: ms(300),
+        max_wait: ms(300),
         zone: "a".to_owned(),
-        may_go_elsewhere,
+        has_alternative,
     }
 }
 
 fn limited_admission(per_second: f64) -> ServerAdmission {
     let mut admission = ServerAdmission::new("feeds", 100);
     admission.server_started(at(0), &id("i-a"));
-    admission.server_noticed(at(0), &id("i-a"), notice_with_limit(per_second));
+    admission.record_notice(at(0), &id("i-a"), notice_with_limit(per_second));
     admission
 }
 
 #[test]
 fn attempts_that_can_go_to_another_server_do_not_wait_for_the_limit() {
     let mut admission = limited_admission(10.0);
-    let verdict = admission.arrive(at(1), &attempt("r", 0, true), open_level);
-    let refused = Verdict::Refuse {
+    let verdict = admission.admit(at(1), &attempt("r", 0, true), open_level);
+    let refused = AdmissionDecision::Refuse {
         reason: NotRunReason::RateLimited,
         retry_after: None,
     };
@@ -152,10 +154,13 @@
 #[test]
 fn waiting_attempt_with_the_highest_priority_starts_first() {
     let mut admission = limited_admission(10.0);
-    let Verdict::Wait(low) = admission.arrive(at(1), &attempt("low", 3, false), open_level) else {
+    let AdmissionDecision::Wait(low) =
+        admission.admit(at(1), &attempt("low", 3, false), open_level)
+    else {
         panic!("it waits");
     };
-    let Verdict::Wait(high) = admission.arrive(at(2), &attempt("high", 90, false), open_level)
+    let AdmissionDecision::Wait(high) =
+        admission.admit(at(2), &attempt("high", 90, false), open_level)
     else {
         panic!("it waits");
     };
@@ -171,23 +176,23 @@
     let mut admission = ServerAdmission::new("feeds", 1);
     admission.server_started(at(0), &id("i-a"));
     assert_eq!(
-        admission.arrive(at(0), &attempt("runs", 0, false), open_level),
-        Verdict::Run
+        admission.admit(at(0), &attempt("runs", 0, false), open_level),
+        AdmissionDecision::Run
     );
     let tickets: Vec<_> = (0..5)
         .map(|number| {
             let attempt = attempt(&number.to_string(), 0, false);
-            match admission.arrive(at(1), &attempt, open_level) {
-                Verdict::Wait(ticket) => ticket,
+            match admission.admit(at(1), &attempt, open_level) {
+                AdmissionDecision::Wait(ticket) => ticket,
                 other => panic!("{other:?}"),
             }
         })
         .collect();
-    assert_eq!(admission.waiting_in_vain(at(1)), []);
-    admission.server_noticed(at(50), &id("i-a"), notice_with_limit(10.0));
+    assert_eq!(admission.waits_exceeding_patience(at(1)), []);
+    admission.record_notice(at(50), &id("i-a"), notice_with_limit(10.0));
     // One token becomes available each 100 ms: the second one comes too late to ask another server
     // within the patience of 300 ms.
-    assert_eq!(admission.waiting_in_vain(at(50)), tickets[1..]);
+    assert_eq!(admission.waits_exceeding_patience(at(50)), tickets[1..]);
 }
 
 #[test]
@@ -196,8 +201,8 @@
     let mut waiting = 0;
     let refused = (1..10).find_map(|number| {
         let attempt = attempt(&number.to_string(), 0, false);
-        match admission.arrive(at(1), &attempt, open_level) {
-            Verdict::Refuse { retry_after, .. } => retry_after,
+        match admission.admit(at(1), &attempt, open_level) {
+            AdmissionDecision::Refuse { retry_after, .. } => retry_after,
             _ => {
                 waiting += 1;
                 None
@@ -207,8 +212,8 @@
     let retry_after = refused.expect("only few can wait");
     assert_eq!(waiting, 0, "a second is longer than they can wait");
     let later = at(1) + retry_after;
-    let verdict = admission.arrive(later, &attempt("later", 0, false), open_level);
-    assert_eq!(verdict, Verdict::Run);
+    let verdict = admission.admit(later, &attempt("later", 0, false), open_level);
+    assert_eq!(verdict, AdmissionDecision::Run);
 }
 
 #[test]
@@ -219,19 +224,19 @@
     let later = InstanceId::new("i-a").started_at(7);
     admission.server_started(at(900), &later);
     assert_eq!(admission.notice(), ServerNotice::default());
-    let verdict = admission.arrive(at(901), &attempt("r", 0, true), open_level);
-    assert_eq!(verdict, Verdict::Run);
+    let verdict = admission.admit(at(901), &attempt("r", 0, true), open_level);
+    assert_eq!(verdict, AdmissionDecision::Run);
 }
 
 #[test]
 fn server_that_announced_leaving_is_leaving_until_it_restarts() {
     let mut admission = limited_admission(1.0);
-    admission.server_noticed(at(1), &id("i-a"), LEAVING);
-    assert!(admission.says_it_leaves(&id("i-a")));
-    assert!(!admission.says_it_leaves(&id("i-b")));
+    admission.record_notice(at(1), &id("i-a"), LEAVING);
+    assert!(admission.is_leaving(&id("i-a")));
+    assert!(!admission.is_leaving(&id("i-b")));
     let later = InstanceId::new("i-a").started_at(7);
     admission.server_started(at(900), &later);
-    assert!(!admission.says_it_leaves(&id("i-a")));
+    assert!(!admission.is_leaving(&id("i-a")));
 }
 
 #[test]
@@ -239,7 +244,7 @@
     let mut admission = limited_admission(1.0);
     let later = InstanceId::new("i-a").started_at(7);
     admission.server_started(at(900), &later);
-    admission.server_noticed(at(901), &id("i-a"), LEAVING);
+    admission.record_notice(at(901), &id("i-a"), LEAVING);
     assert_eq!(admission.notice(), ServerNotice::default());
 }
 
@@ -249,18 +254,18 @@
     pool
 }
 
-fn wanted(candidates: &Candidates, may_repeat: bool) -> Wanted<'_> {
-    Wanted {
+fn requirements(candidates: &Candidates, may_retry: bool) -> ServerRequirements<'_> {
+    ServerRequirements {
         candidates,
-        may_repeat,
+        may_retry,
         purpose: Purpose::Request,
     }
 }
 
-fn chosen(pool: &ServerPool, now: u64, may_repeat: bool) -> Option<(String, bool)> {
+fn chosen(pool: &ServerPool, now: u64, may_retry: bool) -> Option<(String, bool)> {
     let all = Candidates::ALL;
-    let wanted = wanted(&all, may_repeat);
-    let choice = pool.choose(at(now), "feeds", wanted, &mut random())?;
+    let requirements = requirements(&all, may_retry);
+    let choice = pool.choose(at(now), "feeds", requirements, &mut random())?;
     Some((choice.server.id.as_str().to_owned(), choice.has_alternative))
 }
 
@@ -293,7 +298,7 @@
 fn requests_that_cannot_be_retried_are_not_sent_to_a_server_with_a_limit_of_zero() {
     let mut pool = pool();
     pool.noticed(at(0), &id("i-a"), notice_with_limit(0.0));
-    let name = |now, may_repeat| chosen(&pool, now, may_repeat).map(|(name, _)| name);
+    let name = |now, may_retry| chosen(&pool, now, may_retry).map(|(name, _)| name);
     assert_eq!(name(5000, true).as_deref(), Some("i-a"));
     assert_eq!(name(5000, false).as_deref(), Some("i-b"));
 }
--- a/crates/proxy/src/inbound/admission.rs
+++ b/crates/proxy/src/inbound/admission.rs
@@ -8,7 +8,7 @@
 use lifthollow_coordination::mesh::admission_queue::Ticket;
 use lifthollow_coordination::mesh::call::{AttemptEnd, NotRunReason};
 use lifthollow_coordination::mesh::nested_calls;
-use lifthollow_coordination::mesh::server_admission::{ArrivingAttempt, Verdict};
+use lifthollow_coordination::mesh::server_admission::{AdmissionDecision, ArrivingAttempt};
 use lifthollow_coordination::mesh::server_health::RunEnd;
 use lifthollow_state::{ServiceName, Timestamp};
 use tokio::sync::oneshot;
@@ -95,7 +95,7 @@
             .admission
             .withdraw(self.arriving, self.ticket, self.is_unserved);
         if !was_waiting {
-            let started = state.admission.give_back(self.node.now());
+            let started = state.admission.release_unused_slot(self.node.now());
             self.node.start_waiting(&mut state, started);
         }
     }
@@ -113,27 +113,27 @@
         request_id: id.to_owned(),
         priority: attempt.tree.priority,
         is_nested: attempt.tree.is_nested,
-        is_repeat: attempt.tree.is_repeat,
+        is_retry: attempt.tree.is_retry,
         deadline: attempt.deadline,
-        patience: attempt.patience.min(attempt.deadline.saturating_since(now)),
+        max_wait: attempt.patience.min(attempt.deadline.saturating_since(now)),
         zone: attempt.terms.zone.clone(),
-        may_go_elsewhere: attempt.terms.may_go_elsewhere,
+        has_alternative: attempt.terms.has_alternative,
     };
     let verdict = {
         let mut state = node.state.borrow_mut();
         let state = &mut *state;
         if let Some(limit) = attempt.limit_known_to_sender {
-            state.admission.others_were_told(now, limit);
+            state.admission.note_limit_told_to_others(now, limit);
         }
         let (servers, budgets) = (&state.servers, &state.budgets);
         let level_of =
             |service: &ServiceName| nested_calls::admission_level(servers, budgets, now, service);
-        state.admission.arrive(now, &arriving, level_of)
+        state.admission.admit(now, &arriving, level_of)
     };
     match verdict {
-        Verdict::Run => Ok(Permit::new(node, arriving)),
-        Verdict::Wait(ticket) => wait(node, arriving, ticket, now).await,
-        Verdict::Refuse {
+        AdmissionDecision::Run => Ok(Permit::new(node, arriving)),
+        AdmissionDecision::Wait(ticket) => wait(node, arriving, ticket, now).await,
+        AdmissionDecision::Refuse {
             reason,
             retry_after,
         } => Err(AttemptOutcome {
@@ -154,7 +154,7 @@
     let now = node.now();
     let is_needed = {
         let mut state = node.state.borrow_mut();
-        let cannot_start = state.admission.waiting_in_vain(now);
+        let cannot_start = state.admission.waits_exceeding_patience(now);
         node.refuse_waiting(&mut state, &cannot_start);
         state.admission.next_start(now).is_some()
     };
@@ -196,7 +196,7 @@
         is_unserved: false,
         has_started: false,
     };
-    let until = node.clock.instant(now + arriving.patience).into();
+    let until = node.clock.instant(now + arriving.max_wait).into();
     match timeout_at(until, &mut place.started).await {
         Ok(Ok(())) => {
             place.has_started = true;
--- a/crates/proxy/src/inbound/mod.rs
+++ b/crates/proxy/src/inbound/mod.rs
@@ -59,7 +59,7 @@
     pub patience: Duration,
     /// The request rate limit that the sending node knows for the server, if any.
     pub limit_known_to_sender: Option<RequestRate>,
-    /// Whether the attempt may be redirected or repeated, and the zone that it comes from.
+    /// Whether the attempt may be redirected or retried, and the zone that it comes from.
     pub terms: AttemptTerms,
     /// Which connections to another node the attempt may be sent on.
     pub reuse: Reuse,
--- a/crates/proxy/src/inbound/server_notice.rs
+++ b/crates/proxy/src/inbound/server_notice.rs
@@ -46,10 +46,10 @@
     let has_changed = log_change(node, server, notice);
     let now = node.now();
     let mut state = node.state.borrow_mut();
-    let started = state.admission.server_noticed(now, server, notice);
+    let started = state.admission.record_notice(now, server, notice);
     node.start_waiting(&mut state, started);
     if has_changed {
-        let cannot_start = state.admission.waiting_in_vain(now);
+        let cannot_start = state.admission.waits_exceeding_patience(now);
         node.refuse_waiting(&mut state, &cannot_start);
     }
 }
--- a/crates/proxy/src/inbound/server_run.rs
+++ b/crates/proxy/src/inbound/server_run.rs
@@ -21,7 +21,7 @@
 use crate::peer_headers;
 
 /// Answers up to this size, in bytes, are buffered whole before any part is forwarded, so that
-/// the attempt can still be repeated at another server if the answer breaks off.
+/// the attempt can still be retried at another server if the answer breaks off.
 const MAX_BUFFERED_ANSWER_BYTES: usize = 256 * 1024;
 
 /// Sends an admitted attempt to the server and reads the server's answer.
@@ -36,7 +36,7 @@
     peer_headers::strip(headers);
     headers.insert(&names.deadline_ms, milliseconds_value(left));
     let id = headers.get(&names.request_id).cloned();
-    let reuse = if attempt.terms.may_repeat {
+    let reuse = if attempt.terms.may_retry {
         Reuse::Any
     } else {
         Reuse::Recent
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -25,8 +25,8 @@
     pub server_requests: IntCounter,
     /// What the server beside this node reports about itself in its answers.
     pub server_notice: ServerNoticeMetrics,
-    /// Attempts that were repeats.
-    pub repeats: IntCounter,
+    /// Attempts that were retries.
+    pub retries: IntCounter,
     /// Crashes of the server beside this node.
     pub server_crashes: IntCounter,
     /// Number of request contents that are suspected or proven to crash servers.
@@ -54,15 +54,15 @@
 
 /// Metrics of what the server beside this node reports about itself in its answers.
 pub struct ServerNoticeMetrics {
-    /// Rate limit that the server names, in requests a second; [`NO_LIMIT`] if it names none.
+    /// Rate limit that the server announces, in requests a second; [`NO_LIMIT`] if it announces none.
     pub limit: Gauge,
-    /// Since when the server has named a rate limit, in Unix seconds; 0 if it names none.
+    /// Since when the server has announced a rate limit, in Unix seconds; 0 if it announces none.
     pub limited_since: Gauge,
     /// Whether the server is leaving: 1 if so, else 0.
     pub is_leaving: IntGauge,
 }
 
-/// Value of the limit gauge for a server that names no limit.
+/// Value of the limit gauge for a server that announces no limit.
 pub const NO_LIMIT: f64 = -1.0;
 
 impl ServerNoticeMetrics {
@@ -124,7 +124,7 @@
                 "Requests that reached the server beside this node.",
             )?,
             server_notice: ServerNoticeMetrics::new(&registry)?,
-            repeats: IntCounter::new("lifthollow_repeats_total", "Attempts that were repeats.")?,
+            retries: IntCounter::new("lifthollow_repeats_total", "Attempts that were repeats.")?,
             server_crashes: IntCounter::new(
                 "lifthollow_server_crashes_total",
                 "Crashes of the server beside this node.",
@@ -185,7 +185,7 @@
         };
         metrics
             .registry
-            .register(Box::new(metrics.repeats.clone()))?;
+            .register(Box::new(metrics.retries.clone()))?;
         metrics
             .registry
             .register(Box::new(metrics.server_crashes.clone()))?;
--- a/crates/proxy/src/node/mod.rs
+++ b/crates/proxy/src/node/mod.rs
@@ -79,7 +79,7 @@
     pub servers: ServerPool,
     /// The server beside this node; none if the snapshot contains none.
     pub own_server: Option<InstanceId>,
-    /// The budgets of repeated and hedged attempts that this node may send.
+    /// The budgets of retried and hedged attempts that this node may send.
     pub budgets: RetryBudgets,
     /// Admission of attempts to the server beside this node.
     pub admission: ServerAdmission,
--- a/crates/proxy/src/node/own_server.rs
+++ b/crates/proxy/src/node/own_server.rs
@@ -33,7 +33,7 @@
     /// know: only the server itself can tell whether it is the one.
     pub fn refusal_for(&self, id: &InstanceId) -> Option<NotRunReason> {
         let state = self.state.borrow();
-        if state.admission.says_it_leaves(id) {
+        if state.admission.is_leaving(id) {
             return Some(NotRunReason::ServerDraining);
         }
         let known = state.snapshots.snapshot().server(id)?;
@@ -60,7 +60,7 @@
         let state = self.state.borrow();
         let known = state.snapshots.snapshot().server(id);
         let leaves_by_source = known.is_some_and(|known| !known.instance.is_ready());
-        leaves_by_source || state.admission.says_it_leaves(id)
+        leaves_by_source || state.admission.is_leaving(id)
     }
 
     /// Whether the server beside this node has stopped answering.
@@ -98,7 +98,7 @@
         for ticket in tickets {
             let started = state.waiters.remove(&ticket).map(|waiter| waiter.send(()));
             if !matches!(started, Some(Ok(()))) {
-                let more = state.admission.give_back(self.now());
+                let more = state.admission.release_unused_slot(self.now());
                 self.start_waiting(state, more);
             }
         }
--- a/crates/proxy/src/outbound/attempts.rs
+++ b/crates/proxy/src/outbound/attempts.rs
@@ -14,9 +14,9 @@
 };
 use lifthollow_coordination::mesh::nested_calls;
 use lifthollow_coordination::mesh::poison::suspicion::PROOF;
-use lifthollow_coordination::mesh::retry_budget::{Repeated, RetryBudgets};
+use lifthollow_coordination::mesh::retry_budget::{RetryBudgets, RetryKind};
+use lifthollow_coordination::mesh::server_requirements::{Candidates, ServerRequirements};
 use lifthollow_coordination::mesh::server_selection::Choice;
-use lifthollow_coordination::mesh::server_wanted::{Candidates, Wanted};
 use lifthollow_state::Timestamp;
 use lifthollow_state::mesh::ServerInstance;
 use slog::info;
@@ -52,7 +52,7 @@
     request: &mut RoutedRequest,
     mut call: Call,
 ) -> (&'static str, Response<ProxyBody>) {
-    let ends = node.clock.instant(call.ends()).into();
+    let deadline = node.clock.instant(call.deadline()).into();
     let mut pending: FuturesUnordered<PendingAttempt> = FuturesUnordered::new();
     let mut reuse = Reuse::Any;
     permission::wait_until_settled(node, &request.content).await;
@@ -71,9 +71,9 @@
                 record_crash(node, request, &server, &outcome.end);
                 log_attempt(node, request, &server, &outcome.end);
                 let is_other_in_progress = !pending.is_empty();
-                call.attempt_ended(&server.id, &outcome.end, is_other_in_progress, || may_repeat(node, request))
+                call.attempt_ended(&server.id, &outcome.end, is_other_in_progress, || may_retry(node, request))
             }
-            _ = sleep_until(ends) => NextStep::Finish(call.timed_out(true)),
+            _ = sleep_until(deadline) => NextStep::Finish(call.timed_out(true)),
             finding = watch.check_progress(node, node.names.request_id_of(&request.head.headers)) => {
                 let is_unresponsive = finding != Finding::InProgress;
                 let may_hedge = is_unresponsive
@@ -81,7 +81,7 @@
                     && call.may_hedge()
                     && !request.body.is_spent()
                     && crash_count(node, request) == 0;
-                if !may_hedge || !withdraw_hedge(node, request) {
+                if !may_hedge || !try_take_hedge(node, request) {
                     continue;
                 }
                 if finding == Finding::ConnectionSilent {
@@ -193,7 +193,7 @@
     pending: &mut FuturesUnordered<PendingAttempt<'a>>,
 ) -> Result<AttemptWatch, FinalAnswer> {
     let sent = node.now();
-    if sent >= call.ends() {
+    if sent >= call.deadline() {
         return Err(call.timed_out(false));
     }
     let permission = permission::permission(node, &request.route.service, &request.content);
@@ -206,9 +206,9 @@
     let silence = {
         let mut state = node.state.borrow_mut();
         let service = &request.route.service;
-        match (call.is_new(), request.tree.is_repeat) {
-            (true, false) => state.budgets.deposit(sent, service),
-            (true, true) => state.budgets.inherited(sent, service),
+        match (call.is_new(), request.tree.is_retry) {
+            (true, false) => state.budgets.record_request(sent, service),
+            (true, true) => state.budgets.record_inherited_retry(sent, service),
             (false, _) => {}
         }
         state.servers.sent(sent, &server.id);
@@ -222,23 +222,23 @@
         request: outgoing_request(node, request, &server, body),
         content: request.content.clone(),
         server: server.id.clone(),
-        deadline: call.ends(),
+        deadline: call.deadline(),
         tree: CallTreePlace {
-            is_repeat: request.tree.is_repeat || call.is_repeat(),
+            is_retry: request.tree.is_retry || call.is_retry(),
             ..request.tree
         },
-        patience: max_queue_time(request, sent, call.ends()),
+        patience: max_queue_time(request, sent, call.deadline()),
         terms: AttemptTerms {
             zone: node.settings.zone.clone(),
-            may_go_elsewhere: choice.has_alternative && call.may_be_turned_away(),
-            may_repeat: request.route.route.is_idempotent(),
+            has_alternative: choice.has_alternative && call.may_be_refused_by_failing_server(),
+            may_retry: request.route.route.is_idempotent(),
         },
         limit_known_to_sender: node.state.borrow().servers.limit_of(&server.id),
         reuse,
         has_answer_begun: Rc::default(),
     };
     let has_answer_begun = attempt.has_answer_begun.clone();
-    let pause = call.pause_before(&server.id);
+    let pause = call.delay_before(&server.id);
     pending.push(Box::pin(async move {
         if !pause.is_zero() {
             sleep(pause).await;
@@ -287,14 +287,14 @@
     call.candidates()
         .filter_map(permitted)
         .find_map(|candidates| {
-            let wanted = Wanted {
+            let requirements = ServerRequirements {
                 candidates: &candidates,
-                may_repeat: call.may_repeat(),
+                may_retry: call.may_retry(),
                 purpose,
             };
             state
                 .servers
-                .choose(now, service, wanted, &mut state.random)
+                .choose(now, service, requirements, &mut state.random)
         })
 }
 
@@ -308,11 +308,11 @@
 
 /// Whether another attempt may be sent although a server may have run the request.
 ///
-/// A request that was running during two crashes is not repeated by this node: if it is the cause,
+/// A request that was running during two crashes is not retried by this node: if it is the cause,
 /// its third run proves that, and that run should be its caller's next try rather than one of many
-/// repeats.
-fn may_repeat(node: &Rc<Node>, request: &RoutedRequest) -> bool {
-    crash_count(node, request) + 1 < PROOF && withdraw_repeat(node, request)
+/// retries.
+fn may_retry(node: &Rc<Node>, request: &RoutedRequest) -> bool {
+    crash_count(node, request) + 1 < PROOF && try_take_retry(node, request)
 }
 
 /// Records at this node, without waiting for a report, that the server crashed while it ran this
@@ -331,35 +331,37 @@
     }
 }
 
-fn withdraw_repeat(node: &Rc<Node>, request: &RoutedRequest) -> bool {
-    withdraw_from_budget(node, request, RetryBudgets::withdraw)
+fn try_take_retry(node: &Rc<Node>, request: &RoutedRequest) -> bool {
+    take_from_budget(node, request, RetryBudgets::try_take_retry)
 }
 
-fn withdraw_hedge(node: &Rc<Node>, request: &RoutedRequest) -> bool {
-    withdraw_from_budget(node, request, RetryBudgets::withdraw_for_hedge)
+fn try_take_hedge(node: &Rc<Node>, request: &RoutedRequest) -> bool {
+    take_from_budget(node, request, RetryBudgets::try_take_hedge)
 }
 
-fn withdraw_from_budget(
+fn take_from_budget(
     node: &Rc<Node>,
     request: &RoutedRequest,
-    withdraw: impl FnOnce(&mut RetryBudgets, Timestamp, &str, Repeated) -> bool,
+    try_take: impl FnOnce(&mut RetryBudgets, Timestamp, &str, RetryKind) -> bool,
 ) -> bool {
     let now = node.now();
-    let repeated = match request.tree.is_nested {
-        true => Repeated::NestedCall,
-        false => Repeated::Request,
+    let retry_kind = match request.tree.is_nested {
+        true => RetryKind::NestedCall,
+        false => RetryKind::Request,
     };
     let mut state = node.state.borrow_mut();
-    let is_withdrawn = withdraw(&mut state.budgets, now, &request.route.service, repeated);
-    if is_withdrawn {
-        node.metrics.repeats.inc();
+    let is_taken = try_take(&mut state.budgets, now, &request.route.service, retry_kind);
+    if is_taken {
+        node.metrics.retries.inc();
     }
-    is_withdrawn
+    is_taken
 }
 
-fn max_queue_time(request: &RoutedRequest, now: Timestamp, ends: Timestamp) -> Duration {
+fn max_queue_time(request: &RoutedRequest, now: Timestamp, deadline: Timestamp) -> Duration {
     if request.tree.is_nested {
-        return ends.saturating_since(now).mul_f64(NESTED_QUEUE_FRACTION);
+        return deadline
+            .saturating_since(now)
+            .mul_f64(NESTED_QUEUE_FRACTION);
     }
     let target = request.route.route.target_latency;
     let allowed = target.map_or(DEFAULT_QUEUE_TIME, |target| target.mul_f64(QUEUE_FRACTION));
--- a/crates/proxy/src/outbound/mod.rs
+++ b/crates/proxy/src/outbound/mod.rs
@@ -18,7 +18,7 @@
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
 use lifthollow_coordination::mesh::call::{Call, FinalAnswer, RefusalReason};
-use lifthollow_coordination::mesh::server_wanted::Purpose;
+use lifthollow_coordination::mesh::server_requirements::Purpose;
 use lifthollow_coordination::mesh::tenants::authentication::Denial;
 use lifthollow_state::Timestamp;
 use rand::RngExt;
--- a/crates/proxy/src/outbound/request.rs
+++ b/crates/proxy/src/outbound/request.rs
@@ -108,7 +108,7 @@
 ) -> (CallTreePlace, Option<NestedCall>) {
     let id = node.names.request_id_of(&head.headers);
     let time_left = peer_headers::milliseconds(&head.headers, &node.names.deadline_ms);
-    let deadline = time_left.map_or(call.ends(), |time_left| node.now() + time_left);
+    let deadline = time_left.map_or(call.deadline(), |time_left| node.now() + time_left);
     let mut state = node.state.borrow_mut();
     match state.admission.parent_of(id, deadline) {
         Some(parent) => {
@@ -116,7 +116,7 @@
             let place = CallTreePlace {
                 priority: parent.priority,
                 is_nested: true,
-                is_repeat: parent.is_repeat,
+                is_retry: parent.is_retry,
             };
             let nested_call = NestedCall {
                 node: node.clone(),
@@ -133,7 +133,7 @@
             let place = CallTreePlace {
                 priority: priority_of_request(rank, id),
                 is_nested: false,
-                is_repeat: false,
+                is_retry: false,
             };
             (place, None)
         }
@@ -168,8 +168,8 @@
     if length > limit {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
-    let ends = node.clock.instant(call.ends()).into();
-    let read = timeout_at(ends, body::read(incoming, MAX_BUFFERED_REQUEST_BYTES))
+    let deadline = node.clock.instant(call.deadline()).into();
+    let read = timeout_at(deadline, body::read(incoming, MAX_BUFFERED_REQUEST_BYTES))
         .await
         .map_err(|_| StatusCode::REQUEST_TIMEOUT)?
         .map_err(|_| StatusCode::BAD_REQUEST)?;
--- a/crates/proxy/src/outbound/send.rs
+++ b/crates/proxy/src/outbound/send.rs
@@ -99,7 +99,7 @@
     }
 }
 
-/// Records the notice of a server. A missing notice means that the server names no limit only if
+/// Records the notice of a server. A missing notice means that the server announces no limit only if
 /// the server itself answered: otherwise its node may have restarted and not know the limit yet.
 fn record_notice(
     node: &Rc<Node>,
--- a/crates/proxy/src/peer_headers.rs
+++ b/crates/proxy/src/peer_headers.rs
@@ -27,7 +27,7 @@
 /// Path at which a node answers probes: whether it and the server beside it are available.
 pub const PROBE_PATH: &str = "/lifthollow/probe";
 /// With an attempt: its [`CallTreePlace`] (admission level of its priority, whether it is nested,
-/// whether it is a repeat) and its [`AttemptTerms`].
+/// whether it is a retry) and its [`AttemptTerms`].
 pub const TREE: HeaderName = HeaderName::from_static("lifthollow-tree");
 /// With an attempt: how long it may wait in the server's queue before it runs, in milliseconds.
 pub const PATIENCE: HeaderName = HeaderName::from_static("lifthollow-patience-ms");
@@ -66,7 +66,7 @@
     /// Whether the attempt is for a call that a server makes while it runs another request.
     pub is_nested: bool,
     /// Whether a server may already have run this call, or the request that the call is made for.
-    pub is_repeat: bool,
+    pub is_retry: bool,
 }
 
 /// Value of [`WAITING_FOR`] if the probed node has an attempt of the request in progress.
@@ -287,24 +287,24 @@
     })
 }
 
-/// The zone that an attempt comes from, and whether it may be redirected or repeated.
+/// The zone that an attempt comes from, and whether it may be redirected or retried.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptTerms {
     /// The zone of the node that the request's caller sent it to.
     pub zone: String,
     /// Whether the attempt may be refused because another server has capacity for it.
-    pub may_go_elsewhere: bool,
+    pub has_alternative: bool,
     /// Whether the request may be sent again if the answer to this attempt is lost.
-    pub may_repeat: bool,
+    pub may_retry: bool,
 }
 
 /// Formats the value of [`TREE`].
 pub fn tree_value(tree: &CallTreePlace, terms: &AttemptTerms) -> HeaderValue {
     let level = AdmissionLevel::of(tree.priority).0;
     let nested = u8::from(tree.is_nested);
-    let repeat = u8::from(tree.is_repeat);
-    let elsewhere = u8::from(terms.may_go_elsewhere);
-    let again = u8::from(terms.may_repeat);
+    let repeat = u8::from(tree.is_retry);
+    let elsewhere = u8::from(terms.has_alternative);
+    let again = u8::from(terms.may_retry);
     let zone = &terms.zone;
     let text = format!("{level} {nested} {repeat} {elsewhere} {again} {zone}");
     HeaderValue::try_from(text).unwrap_or(HeaderValue::from_static(""))
@@ -321,14 +321,14 @@
     let place = CallTreePlace {
         priority: AdmissionLevel(next()).priority(),
         is_nested: next() != 0,
-        is_repeat: next() != 0,
+        is_retry: next() != 0,
     };
-    let may_go_elsewhere = next() != 0;
-    let may_repeat = next() != 0;
+    let has_alternative = next() != 0;
+    let may_retry = next() != 0;
     let terms = AttemptTerms {
         zone: words.next().unwrap_or_default().to_owned(),
-        may_go_elsewhere,
-        may_repeat,
+        has_alternative,
+        may_retry,
     };
     (place, terms)
 }
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -179,7 +179,10 @@
         sleep(pause).await;
         let now = node.now();
         let lateness = now.saturating_since(slept_at).saturating_sub(pause);
-        node.state.borrow_mut().admission.woken_late(now, lateness);
+        node.state
+            .borrow_mut()
+            .admission
+            .record_lateness(now, lateness);
     }
 }
 
--- a/crates/proxy/src/wire_names.rs
+++ b/crates/proxy/src/wire_names.rs
@@ -17,7 +17,7 @@
     pub expected_instance: HeaderName,
     /// Header of a server's answer that says that the server has not run the request.
     pub not_run: HeaderName,
-    /// Header of a server's answers with the rate limit that the server names: requests a second from
+    /// Header of a server's answers with the rate limit that the server announces: requests a second from
     /// all nodes together.
     pub server_limit: HeaderName,
     /// Header of a server's answers that has the value [`WireNames::leaving_word`] if the server is
