--- a/crates/coordination/src/mesh/admission_queue.rs
+++ b/crates/coordination/src/mesh/admission_queue.rs
@@ -181,7 +181,7 @@
 
     /// Whether the server is unresponsive: it has had running requests for a while and answered
     /// none.
-    pub fn is_silent(&self, now: Timestamp) -> bool {
+    pub fn is_unresponsive(&self, now: Timestamp) -> bool {
         let silence = (self.service_time.high() * 2).max(MIN_SILENCE);
         self.running > 0 && now.saturating_since(self.last_response) > silence
     }
@@ -189,7 +189,7 @@
     /// Whether a request may be sent to the server. An unresponsive server is sent a trial
     /// request once per `TRIAL_INTERVAL`, to detect when it answers again.
     pub fn allows_attempt(&mut self, now: Timestamp) -> bool {
-        if !self.is_silent(now) {
+        if !self.is_unresponsive(now) {
             return true;
         }
         if now.saturating_since(self.last_trial) < TRIAL_INTERVAL {
--- a/crates/coordination/src/mesh/server_admission.rs
+++ b/crates/coordination/src/mesh/server_admission.rs
@@ -184,8 +184,8 @@
     }
 
     /// Whether the server is unresponsive: it has stopped answering.
-    pub fn is_silent(&self, now: Timestamp) -> bool {
-        self.queue.is_silent(now)
+    pub fn is_unresponsive(&self, now: Timestamp) -> bool {
+        self.queue.is_unresponsive(now)
     }
 
     /// The lowest level that this server and the downstream services it needs admit, for nested
--- a/crates/coordination/src/mesh/server_selection/mod.rs
+++ b/crates/coordination/src/mesh/server_selection/mod.rs
@@ -178,7 +178,7 @@
     }
 
     /// Records that an attempt was sent to a server.
-    pub fn sent(&mut self, now: Timestamp, id: &InstanceId) {
+    pub fn record_attempt_sent(&mut self, now: Timestamp, id: &InstanceId) {
         if let Some(record) = self.records.get_mut(id) {
             record.in_flight += 1;
             if let Some(pace) = &mut record.send_pace {
@@ -188,7 +188,7 @@
     }
 
     /// Records that an attempt at a server ended, with any outcome.
-    pub fn ended(&mut self, id: &InstanceId) {
+    pub fn record_attempt_ended(&mut self, id: &InstanceId) {
         if let Some(record) = self.records.get_mut(id) {
             record.in_flight = record.in_flight.saturating_sub(1);
         }
@@ -196,7 +196,7 @@
 
     /// Records an answer of a server's node. `latency` is the latency of the run if there was one,
     /// and whether it was a nested call.
-    pub fn heard(
+    pub fn record_answer(
         &mut self,
         now: Timestamp,
         id: &InstanceId,
@@ -221,14 +221,14 @@
     }
 
     /// Records a load that a server's node reported without an answer of the server.
-    pub fn reported(&mut self, now: Timestamp, id: &InstanceId, load: ReportedLoad) {
+    pub fn record_load_report(&mut self, now: Timestamp, id: &InstanceId, load: ReportedLoad) {
         if let Some(record) = self.records.get_mut(id) {
             record.record_load_report(now, load);
         }
     }
 
     /// Records a notice that a server sent in an answer.
-    pub fn noticed(&mut self, now: Timestamp, id: &InstanceId, notice: ServerNotice) {
+    pub fn record_notice(&mut self, now: Timestamp, id: &InstanceId, notice: ServerNotice) {
         if let Some(record) = self.records.get_mut(id) {
             record.record_notice(now, notice);
         }
@@ -249,7 +249,7 @@
     }
 
     /// Records that an answer of a server was lost or corrupted.
-    pub fn lost(&mut self, now: Timestamp, id: &InstanceId) {
+    pub fn record_lost_answer(&mut self, now: Timestamp, id: &InstanceId) {
         if let Some(record) = self.records.get_mut(id) {
             record.losses.observe(now, true);
         }
@@ -257,7 +257,7 @@
 
     /// Marks a server as suspect because it or its node was unreachable or unresponsive. Returns
     /// true if it was eligible before: then the caller must start probing it.
-    pub fn set_aside(&mut self, now: Timestamp, id: &InstanceId) -> bool {
+    pub fn mark_suspect(&mut self, now: Timestamp, id: &InstanceId) -> bool {
         match self.records.get_mut(id) {
             Some(record) if record.eligibility(now) == Eligibility::Eligible => {
                 record.set_eligibility(Eligibility::Suspect { failed_probes: 0 });
@@ -275,7 +275,7 @@
 
     /// Records that another server answered at a server's address. The server gets no attempts for
     /// `MISDIRECTED_PAUSE`; the one that answered may have been about to end.
-    pub fn misdirected(&mut self, now: Timestamp, id: &InstanceId) {
+    pub fn record_misdirected(&mut self, now: Timestamp, id: &InstanceId) {
         self.set_withdrawn(id, Some(now + MISDIRECTED_PAUSE));
     }
 
@@ -298,7 +298,7 @@
     }
 
     /// Records the result of a probe of a server's node.
-    pub fn probed(&mut self, now: Timestamp, id: &InstanceId, answered: bool) {
+    pub fn record_probe(&mut self, now: Timestamp, id: &InstanceId, answered: bool) {
         let Some(record) = self.records.get_mut(id) else {
             return;
         };
@@ -313,7 +313,7 @@
     /// Whether a server that was sent an attempt at `sent` is unresponsive, so that another server
     /// should be tried: it has answered nothing since then, although that is longer than an
     /// answer takes.
-    pub fn is_silent(
+    pub fn is_unresponsive(
         &self,
         now: Timestamp,
         id: &InstanceId,
@@ -323,12 +323,13 @@
         let Some(record) = self.records.get(id) else {
             return true;
         };
-        record.answered_at < sent && now.saturating_since(sent) >= self.silence(id, is_nested)
+        record.answered_at < sent
+            && now.saturating_since(sent) >= self.response_timeout(id, is_nested)
     }
 
     /// Time without an answer of a server after which a request or a nested call is tried at
     /// another server.
-    pub fn silence(&self, id: &InstanceId, is_nested: bool) -> Duration {
+    pub fn response_timeout(&self, id: &InstanceId, is_nested: bool) -> Duration {
         let latency = self
             .records
             .get(id)
--- a/crates/coordination/src/mesh/server_selection/service_levels.rs
+++ b/crates/coordination/src/mesh/server_selection/service_levels.rs
@@ -25,7 +25,7 @@
     /// Number of servers of the service that are ready.
     pub servers: usize,
     /// Number of these servers that are suspect or withdrawn.
-    pub set_aside: usize,
+    pub ineligible: usize,
 }
 
 impl ServerPool {
@@ -84,7 +84,7 @@
             level: self.admission_level(now, service, purpose),
             age: now.saturating_since(last),
             servers: records.len(),
-            set_aside: records.iter().filter(is_ineligible).count(),
+            ineligible: records.iter().filter(is_ineligible).count(),
         }
     }
 }
--- a/crates/coordination/tests/mesh_admission.rs
+++ b/crates/coordination/tests/mesh_admission.rs
@@ -141,8 +141,8 @@
         admission.admit(at(0), &sheddable("first", 0), open),
         AdmissionDecision::Run
     );
-    assert!(!admission.is_silent(at(500)));
-    assert!(admission.is_silent(at(1000)));
+    assert!(!admission.is_unresponsive(at(500)));
+    assert!(admission.is_unresponsive(at(1000)));
     assert_eq!(
         admission.admit(at(1000), &sheddable("trial", 0), open),
         AdmissionDecision::Run
@@ -155,7 +155,7 @@
     assert_eq!(verdict, unreachable);
     let trial = admission.started(at(1300), &sheddable("trial", 0));
     admission.answered(at(1200), trial, true);
-    assert!(!admission.is_silent(at(1300)));
+    assert!(!admission.is_unresponsive(at(1300)));
 }
 
 /// Overloads the server with nested calls of all user priorities for two seconds.
--- a/crates/coordination/tests/mesh_attempts.rs
+++ b/crates/coordination/tests/mesh_attempts.rs
@@ -226,7 +226,7 @@
     let mut pool = pool();
     assert_eq!(chosen(&pool, 0), "i-a");
     for _ in 0..6 {
-        pool.sent(at(0), &id("i-a"));
+        pool.record_attempt_sent(at(0), &id("i-a"));
     }
     assert_eq!(
         chosen(&pool, 0),
@@ -234,7 +234,7 @@
         "the server in the own zone still has spare slots"
     );
     for _ in 0..2 {
-        pool.sent(at(0), &id("i-a"));
+        pool.record_attempt_sent(at(0), &id("i-a"));
     }
     assert_ne!(chosen(&pool, 0), "i-a");
 }
@@ -248,11 +248,11 @@
     far.slots = 400;
     pool.set_servers(at(0), [near, far]);
     for _ in 0..370 {
-        pool.sent(at(0), &id("i-a"));
+        pool.record_attempt_sent(at(0), &id("i-a"));
     }
     assert_eq!(chosen(&pool, 0), "i-a");
     for _ in 0..20 {
-        pool.sent(at(0), &id("i-a"));
+        pool.record_attempt_sent(at(0), &id("i-a"));
     }
     assert_eq!(chosen(&pool, 0), "i-b");
 }
@@ -269,22 +269,22 @@
 #[test]
 fn suspect_server_is_used_again_only_after_a_successful_probe() {
     let mut pool = pool();
-    assert!(pool.set_aside(at(0), &id("i-a")));
+    assert!(pool.mark_suspect(at(0), &id("i-a")));
     assert!(
-        !pool.set_aside(at(0), &id("i-a")),
+        !pool.mark_suspect(at(0), &id("i-a")),
         "the server is already being probed"
     );
     assert_ne!(chosen(&pool, 60_000), "i-a");
     let first = pool
         .probe_delay(at(0), &id("i-a"))
         .expect("the server is not probed");
-    pool.probed(at(0), &id("i-a"), false);
+    pool.record_probe(at(0), &id("i-a"), false);
     assert!(
         pool.probe_delay(at(0), &id("i-a"))
             .expect("the server is no longer probed")
             > first
     );
-    pool.probed(at(0), &id("i-a"), true);
+    pool.record_probe(at(0), &id("i-a"), true);
     assert_eq!(pool.probe_delay(at(0), &id("i-a")), None);
     assert_eq!(chosen(&pool, 60_000), "i-a");
 }
@@ -293,7 +293,7 @@
 fn suspect_server_is_used_if_no_other_is_left() {
     let mut pool = ServerPool::new("a");
     pool.set_servers(at(0), [server("i-a", "a", 1)]);
-    pool.set_aside(at(0), &id("i-a"));
+    pool.mark_suspect(at(0), &id("i-a"));
     assert_eq!(chosen(&pool, 0), "i-a");
 }
 
@@ -315,13 +315,13 @@
 fn server_in_whose_place_another_answered_is_tried_again() {
     let mut pool = ServerPool::new("a");
     pool.set_servers(at(0), [server("i-a", "a", 1)]);
-    pool.misdirected(at(0), &id("i-a"));
+    pool.record_misdirected(at(0), &id("i-a"));
     assert!(pool.choose(at(500), "feeds", ANY, &mut random()).is_none());
     assert_eq!(chosen(&pool, 2000), "i-a");
     let other = server("i-b", "a", 2);
     pool.set_servers(at(2000), [server("i-a", "a", 1), other]);
     for _ in 0..8 {
-        pool.sent(at(0), &id("i-b"));
+        pool.record_attempt_sent(at(0), &id("i-b"));
     }
     assert_eq!(
         chosen(&pool, 2000),
@@ -333,22 +333,22 @@
 #[test]
 fn server_that_answers_is_not_considered_unresponsive() {
     let mut pool = pool();
-    assert!(!pool.is_silent(at(100), &id("i-a"), at(1), false));
-    assert!(pool.is_silent(at(5000), &id("i-a"), at(1), false));
-    pool.heard(at(4900), &id("i-a"), None, Some((ms(30), false)));
-    assert!(!pool.is_silent(at(5000), &id("i-a"), at(1), false));
+    assert!(!pool.is_unresponsive(at(100), &id("i-a"), at(1), false));
+    assert!(pool.is_unresponsive(at(5000), &id("i-a"), at(1), false));
+    pool.record_answer(at(4900), &id("i-a"), None, Some((ms(30), false)));
+    assert!(!pool.is_unresponsive(at(5000), &id("i-a"), at(1), false));
 }
 
 #[test]
 fn server_that_loses_answers_is_avoided_while_others_have_free_slots() {
     let mut pool = pool();
     for number in 0..10 {
-        pool.lost(at(number), &id("i-a"));
+        pool.record_lost_answer(at(number), &id("i-a"));
     }
     assert_ne!(chosen(&pool, 10), "i-a");
     for other in ["i-b", "i-c"] {
         for _ in 0..30 {
-            pool.sent(at(0), &id(other));
+            pool.record_attempt_sent(at(0), &id(other));
         }
     }
     assert_eq!(
@@ -361,8 +361,8 @@
 #[test]
 fn few_losses_count_only_for_requests_that_can_not_be_retried() {
     let mut pool = pool();
-    pool.lost(at(0), &id("i-a"));
-    pool.heard(at(0), &id("i-a"), None, None);
+    pool.record_lost_answer(at(0), &id("i-a"));
+    pool.record_answer(at(0), &id("i-a"), None, None);
     assert_eq!(chosen(&pool, 0), "i-a");
     let once = ServerRequirements {
         may_retry: false,
@@ -388,13 +388,13 @@
     let mut pool = pool();
     let level = |pool: &ServerPool, now| pool.admission_level(at(now), "feeds", Purpose::Request).0;
     assert_eq!(level(&pool, 1000), 0);
-    pool.reported(at(1000), &id("i-a"), reported(100));
+    pool.record_load_report(at(1000), &id("i-a"), reported(100));
     assert_eq!(
         level(&pool, 1100),
         100,
         "servers that have not reported must not count"
     );
-    pool.reported(at(1050), &id("i-b"), reported(40));
+    pool.record_load_report(at(1050), &id("i-b"), reported(40));
     assert_eq!(level(&pool, 1100), 40);
     assert!(level(&pool, 3000) < 5, "an old level must decay");
 }
@@ -406,7 +406,7 @@
         failure_share: 0.4,
         ..reported(0)
     };
-    pool.heard(at(10), &id("i-a"), Some(failing), None);
+    pool.record_answer(at(10), &id("i-a"), Some(failing), None);
     assert!(pool.loses_answers(at(10), &id("i-a")));
     assert_ne!(chosen(&pool, 10), "i-a");
     assert_eq!(chosen(&pool, 20_000), "i-a", "old losses must decay");
@@ -431,10 +431,10 @@
             is_nested: true,
             ..reported(0)
         };
-        pool.reported(at(10), &id(failing), load);
+        pool.record_load_report(at(10), &id(failing), load);
     }
     for _ in 0..30 {
-        pool.sent(at(0), &id("i-c"));
+        pool.record_attempt_sent(at(0), &id("i-c"));
     }
     pool
 }
@@ -480,10 +480,10 @@
         is_nested: true,
         ..reported(90)
     };
-    pool.reported(at(10), &id("i-c"), load);
+    pool.record_load_report(at(10), &id("i-c"), load);
     let level = |pool: &ServerPool| pool.admission_level(at(10), "feeds", NOT_RETRYABLE_CALL).0;
     assert_eq!(level(&pool), 90);
-    pool.set_aside(at(10), &id("i-c"));
+    pool.mark_suspect(at(10), &id("i-c"));
     assert_eq!(level(&pool), 0, "only failing servers are left");
 }
 
@@ -495,9 +495,9 @@
         choice.expect("there are servers").has_alternative
     };
     assert!(has_alternative(&pool));
-    pool.set_aside(at(0), &id("i-b"));
+    pool.mark_suspect(at(0), &id("i-b"));
     for _ in 0..10 {
-        pool.lost(at(0), &id("i-c"));
+        pool.record_lost_answer(at(0), &id("i-c"));
     }
     assert!(!has_alternative(&pool));
 }
--- a/crates/coordination/tests/mesh_rate_limits.rs
+++ b/crates/coordination/tests/mesh_rate_limits.rs
@@ -277,12 +277,12 @@
 fn server_at_its_limit_is_not_chosen_while_others_have_room() {
     let mut pool = pool();
     assert!(is_chosen(&pool, 0, "i-a"), "it is near");
-    pool.noticed(at(0), &id("i-a"), notice_with_limit(10.0));
+    pool.record_notice(at(0), &id("i-a"), notice_with_limit(10.0));
     assert!(is_chosen(&pool, 0, "i-b"));
     assert!(is_chosen(&pool, 100, "i-a"), "its pace allows one");
-    pool.sent(at(100), &id("i-a"));
+    pool.record_attempt_sent(at(100), &id("i-a"));
     assert!(is_chosen(&pool, 101, "i-b"));
-    pool.noticed(at(150), &id("i-a"), ServerNotice::default());
+    pool.record_notice(at(150), &id("i-a"), ServerNotice::default());
     assert!(is_chosen(&pool, 150, "i-a"));
 }
 
@@ -290,14 +290,14 @@
 fn server_at_its_limit_does_not_count_as_an_alternative() {
     let mut pool = pool();
     assert_eq!(chosen(&pool, 0, true), Some(("i-a".to_owned(), true)));
-    pool.noticed(at(0), &id("i-b"), notice_with_limit(1.0));
+    pool.record_notice(at(0), &id("i-b"), notice_with_limit(1.0));
     assert_eq!(chosen(&pool, 0, true), Some(("i-a".to_owned(), false)));
 }
 
 #[test]
 fn requests_that_cannot_be_retried_are_not_sent_to_a_server_with_a_limit_of_zero() {
     let mut pool = pool();
-    pool.noticed(at(0), &id("i-a"), notice_with_limit(0.0));
+    pool.record_notice(at(0), &id("i-a"), notice_with_limit(0.0));
     let name = |now, may_retry| chosen(&pool, now, may_retry).map(|(name, _)| name);
     assert_eq!(name(5000, true).as_deref(), Some("i-a"));
     assert_eq!(name(5000, false).as_deref(), Some("i-b"));
@@ -316,7 +316,7 @@
 #[test]
 fn server_that_announced_leaving_is_not_chosen_again_for_a_new_entry() {
     let mut pool = pool();
-    pool.noticed(at(0), &id("i-a"), LEAVING);
+    pool.record_notice(at(0), &id("i-a"), LEAVING);
     assert!(is_chosen(&pool, 1, "i-b"));
     let mut entry = server("i-a", "a", 1);
     entry.slots += 1;
@@ -335,8 +335,8 @@
 #[test]
 fn service_whose_servers_are_all_leaving_has_no_servers() {
     let mut pool = pool();
-    pool.noticed(at(0), &id("i-a"), LEAVING);
+    pool.record_notice(at(0), &id("i-a"), LEAVING);
     assert!(pool.has_servers("feeds"));
-    pool.noticed(at(0), &id("i-b"), LEAVING);
+    pool.record_notice(at(0), &id("i-b"), LEAVING);
     assert!(!pool.has_servers("feeds"));
 }
--- a/crates/coordination/tests/mesh_routes.rs
+++ b/crates/coordination/tests/mesh_routes.rs
@@ -8,7 +8,7 @@
 use lifthollow_state::mesh::{
     Change, ConfigurationError, KnownServer, ServerInstance, ServerState, Snapshot,
 };
-use mesh_support::{at, at_revision, configuration, id, part, random, route, server};
+use mesh_support::{at, at_revision, configuration, destination, id, random, route, server};
 
 #[test]
 fn longest_prefix_of_the_host_wins() {
@@ -36,7 +36,7 @@
 #[test]
 fn every_sequence_of_requests_is_split_by_weight() {
     let mut split_route = route("split", "/");
-    split_route.destinations = vec![part("feeds", 90), part("media", 10)];
+    split_route.destinations = vec![destination("feeds", 90), destination("media", 10)];
     let mut split = WeightedSplit::default();
     let mut random = random();
     let chosen: Vec<bool> = (0..1000)
@@ -54,7 +54,7 @@
 #[test]
 fn destination_without_weight_gets_no_requests() {
     let mut split_route = route("split", "/");
-    split_route.destinations = vec![part("feeds", 0), part("media", 5)];
+    split_route.destinations = vec![destination("feeds", 0), destination("media", 5)];
     let mut split = WeightedSplit::default();
     let mut random = random();
     assert!((0..50).all(|_| split.choose(&split_route, &mut random) == "media"));
@@ -63,7 +63,7 @@
 #[test]
 fn nodes_start_their_splits_at_different_points() {
     let mut split_route = route("split", "/");
-    split_route.destinations = vec![part("feeds", 50), part("media", 50)];
+    split_route.destinations = vec![destination("feeds", 50), destination("media", 50)];
     let mut random = random();
     let starting_with_media =
         (0..400).filter(|_| WeightedSplit::default().choose(&split_route, &mut random) == "media");
@@ -125,9 +125,9 @@
         Change::Configuration(configuration(1, vec![route("r", "/")])),
     );
     let mut bare = route("bare", "a");
-    bare.destinations = vec![part("unheard-of", 1)];
+    bare.destinations = vec![destination("unheard-of", 1)];
     let mut idle = route("idle", "/b/");
-    idle.destinations = vec![part("feeds", 0)];
+    idle.destinations = vec![destination("feeds", 0)];
     idle.max_attempts = 0;
     let broken = configuration(2, vec![bare, idle]);
     let Applied::Refused(findings) =
--- a/crates/coordination/tests/mesh_support/mod.rs
+++ b/crates/coordination/tests/mesh_support/mod.rs
@@ -69,12 +69,12 @@
         target_latency: Some(ms(1500)),
         max_attempts: 2,
         priority: 2,
-        destinations: vec![part("feeds", 1)],
+        destinations: vec![destination("feeds", 1)],
         needs_key: true,
     }
 }
 
-pub fn part(service: &str, weight: u32) -> Destination {
+pub fn destination(service: &str, weight: u32) -> Destination {
     Destination {
         service: service.to_owned(),
         weight,
--- a/crates/proxy/src/node/own_server.rs
+++ b/crates/proxy/src/node/own_server.rs
@@ -65,7 +65,7 @@
 
     /// Whether the server beside this node has stopped answering.
     pub fn is_own_server_silent(&self) -> bool {
-        self.state.borrow().admission.is_silent(self.now())
+        self.state.borrow().admission.is_unresponsive(self.now())
     }
 
     /// The load of the server beside this node, as reported to callers' nodes. `zone` is the zone of
--- a/crates/proxy/src/outbound/answer.rs
+++ b/crates/proxy/src/outbound/answer.rs
@@ -44,7 +44,7 @@
             "service" => service, "nested" => is_nested,
             "priority" => AdmissionLevel::of(request.tree.priority).0,
             "admission_level" => known.level.0, "level_age_ms" => known.age.as_millis() as u64,
-            "servers" => known.servers, "set_aside" => known.set_aside,
+            "servers" => known.servers, "set_aside" => known.ineligible,
             "configuration" => request.route.version, "revision" => %node.revision(), "held_ms" => held);
     }
     (outcome, final_response(node, answer))
--- a/crates/proxy/src/outbound/attempts.rs
+++ b/crates/proxy/src/outbound/attempts.rs
@@ -142,17 +142,19 @@
     async fn check_progress(&mut self, node: &Rc<Node>, request_id: &str) -> Finding {
         sleep_until(node.clock.instant(self.next_check).into()).await;
         let now = node.now();
-        let (loses_answers, is_quiet) = {
+        let (loses_answers, is_unresponsive) = {
             let state = node.state.borrow();
             let id = &self.server.id;
-            let is_quiet = state.servers.is_silent(now, id, self.sent, self.is_nested);
-            (state.servers.loses_answers(now, id), is_quiet)
+            let is_unresponsive = state
+                .servers
+                .is_unresponsive(now, id, self.sent, self.is_nested);
+            (state.servers.loses_answers(now, id), is_unresponsive)
         };
         if loses_answers {
             self.next_check = now + self.silence;
             return Finding::ServerUnresponsive;
         }
-        let finding = match is_quiet {
+        let finding = match is_unresponsive {
             true => self.probe(node, request_id).await,
             false => Finding::InProgress,
         };
@@ -164,7 +166,7 @@
         match probe::send_probe(node, &self.server, Some(request_id)).await {
             Liveness::Alive => Finding::InProgress,
             Liveness::Silent => {
-                probe::set_aside(node, &self.server, "silent");
+                probe::mark_suspect(node, &self.server, "silent");
                 Finding::ServerUnresponsive
             }
             Liveness::AttemptNotFound if self.has_answer_begun.get() => Finding::InProgress,
@@ -211,8 +213,10 @@
             (true, true) => state.budgets.record_inherited_retry(sent, service),
             (false, _) => {}
         }
-        state.servers.sent(sent, &server.id);
-        state.servers.silence(&server.id, request.tree.is_nested)
+        state.servers.record_attempt_sent(sent, &server.id);
+        state
+            .servers
+            .response_timeout(&server.id, request.tree.is_nested)
     };
     let in_flight = InFlightGuard {
         node,
@@ -265,7 +269,7 @@
 impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         let mut state = self.node.state.borrow_mut();
-        state.servers.ended(&self.server.id);
+        state.servers.record_attempt_ended(&self.server.id);
     }
 }
 
@@ -374,7 +378,11 @@
         AttemptEnd::Answered => return,
         AttemptEnd::Unknown { .. } => {
             let now = node.now();
-            return node.state.borrow_mut().servers.lost(now, &server.id);
+            return node
+                .state
+                .borrow_mut()
+                .servers
+                .record_lost_answer(now, &server.id);
         }
         AttemptEnd::NotRun { reason, .. } => *reason,
     };
@@ -390,7 +398,7 @@
             let now = node.now();
             let mut state = node.state.borrow_mut();
             if reason == NotRunReason::WrongInstance {
-                state.servers.misdirected(now, &server.id);
+                state.servers.record_misdirected(now, &server.id);
             } else {
                 state.servers.withdraw(&server.id);
             }
@@ -402,7 +410,7 @@
         NotRunReason::NodeUnreachable
         | NotRunReason::NodeLeaving
         | NotRunReason::ServerUnreachable => {
-            probe::set_aside(node, server, peer_headers::not_run_label(reason));
+            probe::mark_suspect(node, server, peer_headers::not_run_label(reason));
         }
     }
 }
--- a/crates/proxy/src/outbound/send.rs
+++ b/crates/proxy/src/outbound/send.rs
@@ -74,11 +74,11 @@
         let latency = now.saturating_since(started);
         let mut state = node.state.borrow_mut();
         let latency = Some((latency, is_nested));
-        state.servers.heard(now, &server.id, load, latency);
+        state.servers.record_answer(now, &server.id, load, latency);
     } else if let Some(load) = load {
         let now = node.now();
         let mut state = node.state.borrow_mut();
-        state.servers.reported(now, &server.id, load);
+        state.servers.record_load_report(now, &server.id, load);
     }
     outcome
 }
@@ -111,7 +111,7 @@
     let mut state = node.state.borrow_mut();
     if *end == AttemptEnd::Answered || notice.is_some() {
         let notice = notice.unwrap_or_default();
-        state.servers.noticed(now, &server.id, notice);
+        state.servers.record_notice(now, &server.id, notice);
     }
     let is_rate_limited = matches!(
         end,
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -114,9 +114,13 @@
 }
 
 /// Excludes `server` from selection, and probes it until it is available again.
-pub fn set_aside(node: &Rc<Node>, server: &ServerInstance, why: &str) {
+pub fn mark_suspect(node: &Rc<Node>, server: &ServerInstance, why: &str) {
     let now = node.now();
-    let is_new = node.state.borrow_mut().servers.set_aside(now, &server.id);
+    let is_new = node
+        .state
+        .borrow_mut()
+        .servers
+        .mark_suspect(now, &server.id);
     if is_new {
         info!(node.log, "server set aside"; "server" => server.id.as_str(),
             "service" => &server.service, "why" => why, "revision" => %node.revision());
@@ -135,7 +139,7 @@
         let is_alive = send_probe(&node, &server, None).await == Liveness::Alive;
         let now = node.now();
         let mut state = node.state.borrow_mut();
-        state.servers.probed(now, &server.id, is_alive);
+        state.servers.record_probe(now, &server.id, is_alive);
         drop(state);
         if is_alive {
             info!(node.log, "server trusted again"; "server" => server.id.as_str(),
