--- a/crates/coordination/src/mesh/admission_queue.rs
+++ b/crates/coordination/src/mesh/admission_queue.rs
@@ -11,7 +11,7 @@
 use lifthollow_state::mesh::RequestRate;
 
 use crate::latency::LatencyEstimate;
-use crate::mesh::rate_limits::RateGate;
+use crate::mesh::rate_limits::RateLimiter;
 
 /// Order of requests in the queue: lower ranks run first, and requests of equal rank run in order
 /// of arrival.
@@ -56,7 +56,7 @@
     waiting: BTreeMap<(Rank, Ticket), Timestamp>,
     service_time: LatencyEstimate,
     /// Limits the request rate if the server has announced a rate limit.
-    rate_gate: RateGate,
+    rate_limiter: RateLimiter,
     /// When the server last answered, started, or got a request while it was idle.
     last_response: Timestamp,
     /// When an unresponsive server was last sent a trial request.
@@ -88,7 +88,7 @@
             next_ticket: 0,
             waiting: BTreeMap::new(),
             service_time: LatencyEstimate::default(),
-            rate_gate: RateGate::default(),
+            rate_limiter: RateLimiter::default(),
             last_response: Timestamp::ZERO,
             last_trial: Timestamp::ZERO,
         }
@@ -113,31 +113,32 @@
     /// Records that the server answered and announced this rate limit, or none. Returns the tickets
     /// of waiting requests that now run.
     pub fn set_rate_limit(&mut self, now: Timestamp, limit: Option<RequestRate>) -> Vec<Ticket> {
-        self.rate_gate.server_named(now, limit);
+        self.rate_limiter.set_announced_limit(now, limit);
         self.start_waiting(now)
     }
 
     /// Records that other nodes were told this rate limit of the server.
     pub fn note_limit_told_to_others(&mut self, now: Timestamp, limit: RequestRate) {
-        self.rate_gate.note_limit_told_to_others(now, limit);
+        self.rate_limiter.note_limit_told_to_others(now, limit);
     }
 
     /// Whether the server is at its announced rate limit, so that no request may start now.
     pub fn is_at_rate_limit(&self, now: Timestamp) -> bool {
-        !self.rate_gate.has_token(now)
+        !self.rate_limiter.has_token(now)
     }
 
     /// The time until the rate limit admits the next waiting request; `None` unless requests wait
     /// only for the rate limit.
     pub fn next_start(&self, now: Timestamp) -> Option<Duration> {
-        let waits = self.rate_gate.is_limited() && !self.waiting.is_empty() && self.has_free_slot();
-        waits.then(|| self.rate_gate.time_until(now, 1))
+        let waits =
+            self.rate_limiter.is_limited() && !self.waiting.is_empty() && self.has_free_slot();
+        waits.then(|| self.rate_limiter.time_until(now, 1))
     }
 
     /// Waiting requests whose expected wait under the current rate limit exceeds their maximum
     /// wait. They should be refused at once, while they still have time to try another server.
     pub fn waits_exceeding_patience(&self, now: Timestamp) -> Vec<Ticket> {
-        if !self.rate_gate.is_limited() {
+        if !self.rate_limiter.is_limited() {
             return Vec::new();
         }
         let waiting = self.waiting.iter().enumerate();
@@ -150,10 +151,13 @@
     /// slots are those that it uses at that rate.
     pub fn occupancy_under_rate_limit(&self, now: Timestamp) -> Occupancy {
         let load = self.occupancy();
-        let Some(slots) = self.rate_gate.slots_used(self.expected_service_time()) else {
+        let Some(slots) = self
+            .rate_limiter
+            .concurrency_at_limit(self.expected_service_time())
+        else {
             return load;
         };
-        let is_full = !self.rate_gate.has_token(now) || !self.has_free_slot();
+        let is_full = !self.rate_limiter.has_token(now) || !self.has_free_slot();
         Occupancy {
             running: if is_full { slots } else { 0 },
             limit: slots,
@@ -163,7 +167,7 @@
 
     /// Decides on a new request that can wait for up to `patience`: runs, queues or refuses it.
     pub fn admit(&mut self, now: Timestamp, rank: Rank, patience: Duration) -> Admission {
-        if self.has_free_slot() && self.is_first_in_queue(rank) && self.rate_gate.try_take(now) {
+        if self.has_free_slot() && self.is_first_in_queue(rank) && self.rate_limiter.try_take(now) {
             self.occupy_slot(now);
             return Admission::Run;
         }
@@ -211,7 +215,7 @@
 
     /// Resets the rate limit because the server restarted or was replaced by another one.
     pub fn reset_rate_limit(&mut self) {
-        self.rate_gate.server_started();
+        self.rate_limiter.reset_after_restart();
     }
 
     /// Removes a request that stopped waiting. Returns false if it was no longer waiting:
@@ -223,7 +227,7 @@
     /// Releases the slot of a request that was admitted but never reached the server. Returns the
     /// tickets of waiting requests that now run.
     pub fn release_unused_slot(&mut self, now: Timestamp) -> Vec<Ticket> {
-        self.rate_gate.release_unused_slot();
+        self.rate_limiter.release_unused_slot();
         self.finish(now, None)
     }
 
@@ -256,7 +260,7 @@
     /// The retry delay for a refused request that would have waited for `wait`. The maximum is
     /// longer at the rate limit, which stays in force for longer than all slots stay taken.
     fn retry_after(&self, now: Timestamp, wait: Duration) -> Duration {
-        let max_retry_after = match self.rate_gate.has_token(now) {
+        let max_retry_after = match self.rate_limiter.has_token(now) {
             true => MAX_RETRY_AFTER,
             false => MAX_RETRY_AFTER_AT_LIMIT,
         };
@@ -265,7 +269,7 @@
 
     /// The wait for the `count`-th token of the rate limit, including a margin.
     fn token_wait(&self, now: Timestamp, count: usize) -> Duration {
-        self.rate_gate
+        self.rate_limiter
             .time_until(now, count)
             .mul_f64(TOKEN_WAIT_FACTOR)
     }
@@ -300,7 +304,7 @@
     /// their tickets.
     pub fn start_waiting(&mut self, now: Timestamp) -> Vec<Ticket> {
         let mut started = Vec::new();
-        while self.has_free_slot() && !self.waiting.is_empty() && self.rate_gate.try_take(now) {
+        while self.has_free_slot() && !self.waiting.is_empty() && self.rate_limiter.try_take(now) {
             let Some(((_, ticket), _)) = self.waiting.pop_first() else {
                 break;
             };
--- a/crates/coordination/src/mesh/rate_limits/mod.rs
+++ b/crates/coordination/src/mesh/rate_limits/mod.rs
@@ -2,18 +2,18 @@
 //! together.
 //!
 //! Every request for a server passes through the node beside it, so that node alone enforces the
-//! limit ([`RateGate`]): it needs no information from other nodes, and no share of the limit is
+//! limit ([`RateLimiter`]): it needs no information from other nodes, and no share of the limit is
 //! lost to nodes that have no requests. Callers' nodes only pace their requests so that few are
 //! rejected there ([`SendPace`]), and report the limit to a server's node that has restarted.
 
-mod rate_gate;
+mod rate_limiter;
 mod send_pace;
 
 use std::time::Duration;
 
 use lifthollow_state::mesh::RequestRate;
 
-pub use rate_gate::RateGate;
+pub use rate_limiter::RateLimiter;
 pub use send_pace::SendPace;
 
 /// Maximum time between requests to a server, however low its limit is: without any requests, no
--- a/crates/coordination/src/mesh/rate_limits/rate_gate.rs
+++ b/crates/coordination/src/mesh/rate_limits/rate_limiter.rs
@@ -11,7 +11,7 @@
 /// exceed the limit within the window in which it is judged.
 const TOKEN_ACCUMULATION_TIME: Duration = Duration::from_millis(500);
 
-/// Origin of the limit that a gate enforces.
+/// Origin of the limit that a rate limiter enforces.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum LimitSource {
     /// The limit was reported by other nodes, or there is none: the server has not answered this
@@ -24,7 +24,7 @@
 
 /// Token bucket at the node beside a server; all requests pass while the server announces no limit.
 #[derive(Clone, Debug, Default)]
-pub struct RateGate {
+pub struct RateLimiter {
     limit: Option<RequestRate>,
     source: LimitSource,
     /// Number of requests that may pass at `refilled_at`.
@@ -32,9 +32,9 @@
     refilled_at: Timestamp,
 }
 
-impl RateGate {
+impl RateLimiter {
     /// Sets the limit that the server announced in an answer, or none.
-    pub fn server_named(&mut self, now: Timestamp, limit: Option<RequestRate>) {
+    pub fn set_announced_limit(&mut self, now: Timestamp, limit: Option<RequestRate>) {
         self.source = LimitSource::Server;
         self.set_limit(now, limit);
     }
@@ -50,12 +50,12 @@
 
     /// Removes the limit after the server beside the node has restarted: the new process has
     /// announced nothing, and limits that other nodes report are those of the previous process.
-    pub fn server_started(&mut self) {
+    pub fn reset_after_restart(&mut self) {
         self.limit = None;
         self.source = LimitSource::Server;
     }
 
-    /// Returns whether the gate enforces a limit.
+    /// Returns whether the rate limiter enforces a limit.
     pub fn is_limited(&self) -> bool {
         self.limit.is_some()
     }
@@ -97,7 +97,7 @@
 
     /// Returns the number of requests that the server handles concurrently when it is at its limit
     /// and each takes `service_time`; `None` without a limit.
-    pub fn slots_used(&self, service_time: Duration) -> Option<u32> {
+    pub fn concurrency_at_limit(&self, service_time: Duration) -> Option<u32> {
         let allowed = allowed_per_second(self.limit?);
         let used = (allowed * service_time.as_secs_f64()).ceil();
         Some((used as u32).max(1))
--- a/crates/coordination/src/mesh/rate_limits/send_pace.rs
+++ b/crates/coordination/src/mesh/rate_limits/send_pace.rs
@@ -58,19 +58,19 @@
     }
 
     /// Records that an attempt was sent at `now`, and schedules the next one.
-    pub fn sent(&mut self, now: Timestamp) {
+    pub fn record_attempt(&mut self, now: Timestamp) {
         let next_at = self.next_at.max(now) + self.interval;
         self.next_at = next_at.min(now + MAX_INTERVAL);
     }
 
     /// Records that the server ran an attempt, and shortens the interval.
-    pub fn served(&mut self) {
+    pub fn record_success(&mut self) {
         self.set_interval(self.interval.mul_f64(SERVED_INTERVAL_FACTOR));
     }
 
     /// Records that the server's node rejected an attempt for the limit, and lengthens the
     /// interval.
-    pub fn turned_away(&mut self, now: Timestamp) {
+    pub fn record_rejection(&mut self, now: Timestamp) {
         self.set_interval(self.interval.mul_f64(REJECTED_INTERVAL_FACTOR));
         self.next_at = now + self.interval;
     }
--- a/crates/coordination/src/mesh/server_selection/mod.rs
+++ b/crates/coordination/src/mesh/server_selection/mod.rs
@@ -182,7 +182,7 @@
         if let Some(record) = self.records.get_mut(id) {
             record.in_flight += 1;
             if let Some(pace) = &mut record.send_pace {
-                pace.sent(now);
+                pace.record_attempt(now);
             }
         }
     }
@@ -210,7 +210,7 @@
         record.losses.observe(now, false);
         record.clear_suspicion(now);
         if let Some(pace) = &mut record.send_pace {
-            pace.served();
+            pace.record_success();
         }
         if let Some(load) = load {
             record.record_load_report(now, load);
@@ -238,7 +238,7 @@
     pub fn rate_limited(&mut self, now: Timestamp, id: &InstanceId) {
         let record = self.records.get_mut(id);
         if let Some(pace) = record.and_then(|record| record.send_pace.as_mut()) {
-            pace.turned_away(now);
+            pace.record_rejection(now);
         }
     }
 
--- a/crates/coordination/tests/mesh_rate_limit_ways.rs
+++ b/crates/coordination/tests/mesh_rate_limit_ways.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 use std::fmt;
 
-use lifthollow_coordination::mesh::rate_limits::{RateGate, SendPace};
+use lifthollow_coordination::mesh::rate_limits::{RateLimiter, SendPace};
 use lifthollow_state::Timestamp;
 use lifthollow_state::mesh::RequestRate;
 use mesh_support::{at, random};
@@ -61,18 +61,18 @@
 /// adapts its own pace.
 struct ServerGate {
     limit: RequestRate,
-    gate: RateGate,
+    limiter: RateLimiter,
     paces: Vec<Option<SendPace>>,
 }
 
 impl ServerGate {
     fn new(load: &Load) -> Self {
         let limit = RequestRate::new(load.limit).expect("a rate");
-        let mut gate = RateGate::default();
-        gate.server_named(at(0), Some(limit));
+        let mut limiter = RateLimiter::default();
+        limiter.set_announced_limit(at(0), Some(limit));
         ServerGate {
             limit,
-            gate,
+            limiter,
             paces: vec![None; load.callers],
         }
     }
@@ -89,21 +89,21 @@
         };
         let may_send = pace.time_until_next(now, true).is_zero();
         if may_send {
-            pace.sent(now);
+            pace.record_attempt(now);
         }
         may_send
     }
 
     fn passes(&mut self, now: Timestamp, caller: usize) -> bool {
-        let passes = self.gate.try_take(now);
+        let passes = self.limiter.try_take(now);
         if !passes {
-            self.pace_of(now, caller).turned_away(now);
+            self.pace_of(now, caller).record_rejection(now);
         }
         passes
     }
 
     fn answered(&mut self, now: Timestamp, caller: usize) {
-        self.pace_of(now, caller).served();
+        self.pace_of(now, caller).record_success();
     }
 }
 
--- a/crates/coordination/tests/mesh_rate_limits.rs
+++ b/crates/coordination/tests/mesh_rate_limits.rs
@@ -4,7 +4,7 @@
 mod mesh_support;
 
 use lifthollow_coordination::mesh::call::NotRunReason;
-use lifthollow_coordination::mesh::rate_limits::{RateGate, SendPace};
+use lifthollow_coordination::mesh::rate_limits::{RateLimiter, SendPace};
 use lifthollow_coordination::mesh::server_admission::{
     AdmissionDecision, ArrivingAttempt, ServerAdmission,
 };
@@ -34,11 +34,11 @@
     is_leaving: true,
 };
 
-/// Sends a request to the gate each millisecond from `from` until `until` and returns the times at
-/// which one passed.
-fn pass_times(gate: &mut RateGate, from: u64, until: u64) -> Vec<u64> {
+/// Sends a request to the limiter each millisecond from `from` until `until` and returns the times
+/// at which one passed.
+fn pass_times(limiter: &mut RateLimiter, from: u64, until: u64) -> Vec<u64> {
     (from..until)
-        .filter(|now| gate.try_take(at(*now)))
+        .filter(|now| limiter.try_take(at(*now)))
         .collect()
 }
 
@@ -63,9 +63,9 @@
 #[test]
 fn gate_passes_no_more_requests_than_the_limit() {
     for per_second in [0.0, 0.1, 1.0, 10.0, 250.0] {
-        let mut gate = RateGate::default();
-        gate.server_named(at(0), Some(rate(per_second)));
-        let passed = pass_times(&mut gate, 0, 20_000);
+        let mut limiter = RateLimiter::default();
+        limiter.set_announced_limit(at(0), Some(rate(per_second)));
+        let passed = pass_times(&mut limiter, 0, 20_000);
         let allowed = 1.5 * per_second * 4.0 + 5.0;
         let max_passed = max_in_window(&passed);
         assert!(max_passed as f64 <= allowed, "{per_second}: {max_passed}");
@@ -75,9 +75,9 @@
 
 #[test]
 fn burst_after_an_idle_period_does_not_exceed_the_limit() {
-    let mut gate = RateGate::default();
-    gate.server_named(at(0), Some(rate(10.0)));
-    let passed = pass_times(&mut gate, 60_000, 64_000);
+    let mut limiter = RateLimiter::default();
+    limiter.set_announced_limit(at(0), Some(rate(10.0)));
+    let passed = pass_times(&mut limiter, 60_000, 64_000);
     assert!(passed.len() <= 65, "{}", passed.len());
 }
 
@@ -85,32 +85,32 @@
 fn restarted_node_passes_no_burst_if_other_nodes_report_the_limit() {
     let mut passed = Vec::new();
     for start in 0..4 {
-        let mut gate = RateGate::default();
-        gate.note_limit_told_to_others(at(start * 1000), rate(8.0));
-        passed.extend(pass_times(&mut gate, start * 1000, (start + 1) * 1000));
+        let mut limiter = RateLimiter::default();
+        limiter.note_limit_told_to_others(at(start * 1000), rate(8.0));
+        passed.extend(pass_times(&mut limiter, start * 1000, (start + 1) * 1000));
     }
     assert!(passed.len() <= 53, "{}", passed.len());
 }
 
 #[test]
 fn limit_reported_by_other_nodes_does_not_override_the_servers_own_announcement() {
-    let mut gate = RateGate::default();
-    gate.server_named(at(0), None);
-    gate.note_limit_told_to_others(at(1), rate(1.0));
-    assert!(!gate.is_limited());
-    let mut gate = RateGate::default();
-    gate.server_started();
-    gate.note_limit_told_to_others(at(1), rate(1.0));
-    assert!(!gate.is_limited(), "a new start has named nothing");
+    let mut limiter = RateLimiter::default();
+    limiter.set_announced_limit(at(0), None);
+    limiter.note_limit_told_to_others(at(1), rate(1.0));
+    assert!(!limiter.is_limited());
+    let mut limiter = RateLimiter::default();
+    limiter.reset_after_restart();
+    limiter.note_limit_told_to_others(at(1), rate(1.0));
+    assert!(!limiter.is_limited(), "a new start has named nothing");
 }
 
 #[test]
 fn limit_ends_when_the_server_withdraws_it() {
-    let mut gate = RateGate::default();
-    gate.server_named(at(0), Some(rate(0.0)));
-    assert!(!gate.has_token(at(10)));
-    gate.server_named(at(20), None);
-    assert_eq!(pass_times(&mut gate, 20, 120).len(), 100);
+    let mut limiter = RateLimiter::default();
+    limiter.set_announced_limit(at(0), Some(rate(0.0)));
+    assert!(!limiter.has_token(at(10)));
+    limiter.set_announced_limit(at(20), None);
+    assert_eq!(pass_times(&mut limiter, 20, 120).len(), 100);
 }
 
 fn open_level(_: &ServiceName) -> AdmissionLevel {
@@ -307,7 +307,7 @@
 fn rejected_node_tries_again_within_a_second() {
     let mut pace = SendPace::new(at(0), rate(0.0));
     for second in 0..20 {
-        pace.turned_away(at(second * 1000));
+        pace.record_rejection(at(second * 1000));
         let wait = pace.time_until_next(at(second * 1000), true);
         assert!(wait <= ms(1000), "{wait:?}");
     }
--- a/crates/proxy/src/outbound/attempts.rs
+++ b/crates/proxy/src/outbound/attempts.rs
@@ -130,7 +130,7 @@
     /// When the attempt is checked next.
     next_check: Timestamp,
     /// How long the server may be silent before the attempt is checked.
-    silence: Duration,
+    response_timeout: Duration,
     is_nested: bool,
     has_answer_begun: Rc<Cell<bool>>,
 }
@@ -151,14 +151,14 @@
             (state.servers.loses_answers(now, id), is_unresponsive)
         };
         if loses_answers {
-            self.next_check = now + self.silence;
+            self.next_check = now + self.response_timeout;
             return Finding::ServerUnresponsive;
         }
         let finding = match is_unresponsive {
             true => self.probe(node, request_id).await,
             false => Finding::InProgress,
         };
-        self.next_check = node.now() + self.silence;
+        self.next_check = node.now() + self.response_timeout;
         finding
     }
 
@@ -205,7 +205,7 @@
     let choice = choose_server(node, request, call, &permission).ok_or_else(|| call.give_up())?;
     let server = choice.server;
     let body = request.body.take().ok_or_else(|| call.give_up())?;
-    let silence = {
+    let response_timeout = {
         let mut state = node.state.borrow_mut();
         let service = &request.route.service;
         match (call.is_new(), request.tree.is_retry) {
@@ -253,8 +253,8 @@
     Ok(AttemptWatch {
         server,
         sent,
-        next_check: sent + silence,
-        silence,
+        next_check: sent + response_timeout,
+        response_timeout,
         is_nested: request.tree.is_nested,
         has_answer_begun,
     })
--- a/crates/proxy/src/peer_headers.rs
+++ b/crates/proxy/src/peer_headers.rs
@@ -54,8 +54,8 @@
 /// In answers: the server's notice about itself, which is its request rate limit (or [`NO_LIMIT`])
 /// and whether it is leaving; missing if it has sent neither.
 pub const SERVER_NOTICE: HeaderName = HeaderName::from_static("lifthollow-server-notice");
-/// With an attempt: the request rate limit that its server named to the sender; missing if it named
-/// none.
+/// With an attempt: the request rate limit that its server announced to the sender; missing if it
+/// announced none.
 pub const TOLD_LIMIT: HeaderName = HeaderName::from_static("lifthollow-told-limit");
 
 /// The place of an attempt in the call tree of its request.
