--- a/crates/coordination/src/mesh/poison/recent_contents.rs
+++ b/crates/coordination/src/mesh/poison/recent_contents.rs
@@ -28,7 +28,7 @@
 
 impl RecentContents {
     /// Records that a server ran `content` successfully at `now`.
-    pub fn note(&mut self, now: Timestamp, content: CallerContent) {
+    pub fn record_successful_run(&mut self, now: Timestamp, content: CallerContent) {
         self.rotate_generations(now);
         if self.newer.len() < MAX_CONTENTS_PER_GENERATION
             || self.newer.contains_key(&content.content)
@@ -39,7 +39,11 @@
     }
 
     /// Returns when a server last ran `content` successfully, if that is still remembered.
-    pub fn last(&mut self, now: Timestamp, content: &CallerContent) -> Option<Timestamp> {
+    pub fn last_successful_run(
+        &mut self,
+        now: Timestamp,
+        content: &CallerContent,
+    ) -> Option<Timestamp> {
         self.rotate_generations(now);
         let last_of = |generation: &HashMap<_, LastRunByCaller>| {
             let by_caller: &LastRunByCaller = generation.get(&content.content)?;
@@ -49,7 +53,7 @@
     }
 
     /// Returns when servers last ran `content` successfully, for each calling service.
-    pub fn served(
+    pub fn successful_runs_by_caller(
         &mut self,
         now: Timestamp,
         content: ContentFingerprint,
--- a/crates/coordination/src/mesh/poison/server_runs.rs
+++ b/crates/coordination/src/mesh/poison/server_runs.rs
@@ -37,7 +37,7 @@
     }
 
     /// Removes a request that did not reach the server, or that the server reported as not run.
-    pub fn not_run(&mut self, run: InboundId) {
+    pub fn remove_unstarted(&mut self, run: InboundId) {
         self.running.remove(&run);
     }
 
@@ -60,7 +60,11 @@
 
     /// Records a crash of `server` and returns, without duplicates, the contents that may have
     /// caused it. They are removed, so another call doesn't return them again.
-    pub fn crashed(&mut self, now: Timestamp, server: &InstanceId) -> Vec<CallerContent> {
+    pub fn take_suspected_contents(
+        &mut self,
+        now: Timestamp,
+        server: &InstanceId,
+    ) -> Vec<CallerContent> {
         self.forget_old(now);
         let running = self.running.values();
         let ended_unserved = self.ended_unserved.iter().map(|(_, run)| run);
--- a/crates/coordination/src/mesh/poison/suspects.rs
+++ b/crates/coordination/src/mesh/poison/suspects.rs
@@ -15,22 +15,22 @@
 use xxhash_rust::xxh3::Xxh3Default;
 
 use crate::mesh::poison::content::{CallerContent, ContentFingerprint};
-use crate::mesh::poison::suspicion::{Evidence, PROOF, SignedTimestamp, Suspicion};
+use crate::mesh::poison::suspicion::{Evidence, PROVING_CRASHES, SignedTimestamp, Suspicion};
 
 /// Maximum number of contents kept, about 200 bytes each. Above it, the contents with the fewest
 /// crashes are dropped first.
 const MAX_SUSPECTS: usize = 1024;
 /// Minimum time between the starts of two trials at a node, unless the first ends successfully
 /// sooner. It is needed because a server may crash shortly after it has broken off its response.
-pub const TRIAL_PAUSE: Duration = Duration::from_secs(2);
+pub const MIN_TRIAL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Minimum age of a proof before requests are refused because of it; until then requests wait. A
 /// node may learn of the third crash before it learns of successful runs at other nodes.
-pub const SETTLING: Duration = Duration::from_millis(100);
+pub const MIN_PROOF_AGE: Duration = Duration::from_millis(100);
 
 /// Decision on whether a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RunDecision {
     /// The request may run.
     Admitted,
     /// The request crashes servers; a trial of it may run after this time.
@@ -42,7 +42,7 @@
 
 /// Change of the callers for which a content is blocked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct BlockChange {
     /// Fingerprint of the content.
     pub content: ContentFingerprint,
     /// Callers whose requests with this content are blocked now; empty if the content is no longer
@@ -83,7 +83,7 @@
 impl Suspects {
     /// Records that `server` crashed while running `contents`. Returns true if the crash
     /// was not known for at least one of them.
-    pub fn note_crash(
+    pub fn record_crash(
         &mut self,
         now: Timestamp,
         contents: &[CallerContent],
@@ -101,7 +101,7 @@
     }
 
     /// Records that a server ran `request` successfully at `at`.
-    pub fn note_served(&mut self, at: Timestamp, request: &CallerContent) {
+    pub fn record_successful_run(&mut self, at: Timestamp, request: &CallerContent) {
         self.end_successful_trial(at, &request.content);
         let Some(suspect) = self.suspects.get_mut(&request.content) else {
             return;
@@ -121,12 +121,12 @@
     }
 
     /// Decides whether `request` may run at `now`.
-    pub fn verdict(&self, now: Timestamp, request: &CallerContent) -> Verdict {
+    pub fn decision(&self, now: Timestamp, request: &CallerContent) -> RunDecision {
         match self.blocked_for(now, request) {
-            None => Verdict::Admitted,
-            Some(_) if self.is_explained_by_other_contents(request) => Verdict::Admitted,
-            Some(Duration::ZERO) => Verdict::OnTrial,
-            Some(left) => Verdict::Blocked(left),
+            None => RunDecision::Admitted,
+            Some(_) if self.is_explained_by_other_contents(request) => RunDecision::Admitted,
+            Some(Duration::ZERO) => RunDecision::OnTrial,
+            Some(left) => RunDecision::Blocked(left),
         }
     }
 
@@ -139,7 +139,8 @@
     }
 
     /// Returns whether other contents explain so many of the crashes that count against `request`
-    /// that fewer than [`PROOF`] remain, while its content has run successfully for some caller.
+    /// that fewer than [`PROVING_CRASHES`] remain, while its content has run successfully for some
+    /// caller.
     ///
     /// Without this check, a frequent content is blocked along with the causes of a series of
     /// crashes that begins before it has run successfully. A single unexplained crash proves
@@ -159,7 +160,7 @@
         crashed
             .filter(|server| !causes.contains_key(server))
             .count()
-            < PROOF
+            < PROVING_CRASHES
     }
 
     /// Returns, for each crashed server, the number of contents that may have caused its crash:
@@ -175,26 +176,26 @@
     }
 
     /// Returns how long to wait before `request` may be refused, because its proof is younger than
-    /// [`SETTLING`]; zero if there is no proof or it is old enough.
-    pub fn settles_in(&self, now: Timestamp, request: &CallerContent) -> Duration {
+    /// [`MIN_PROOF_AGE`]; zero if there is no proof or it is old enough.
+    pub fn refusal_delay(&self, now: Timestamp, request: &CallerContent) -> Duration {
         let suspect = self.suspects.get(&request.content);
         let time_since_proof =
             suspect.and_then(|suspect| suspect.suspicion.time_since_proof(&request.caller, now));
-        time_since_proof.map_or(Duration::ZERO, |age| SETTLING.saturating_sub(age))
+        time_since_proof.map_or(Duration::ZERO, |age| MIN_PROOF_AGE.saturating_sub(age))
     }
 
     /// Returns the number of servers that crashed while running `content`, without crashes that a
     /// successful run clears it of.
-    pub fn crashes(&self, content: &ContentFingerprint) -> usize {
+    pub fn counted_crashes(&self, content: &ContentFingerprint) -> usize {
         let suspect = self.suspects.get(content);
         suspect.map_or(0, |suspect| suspect.suspicion.servers().len())
     }
 
     /// Starts a trial of `content` on this node's server. Returns false if a trial of any content
-    /// began less than [`TRIAL_PAUSE`] ago and hasn't ended successfully: a crash during both
+    /// began less than [`MIN_TRIAL_INTERVAL`] ago and hasn't ended successfully: a crash during both
     /// trials would count against both contents.
     pub fn begin_trial(&mut self, now: Timestamp, content: &ContentFingerprint) -> bool {
-        let is_recent = |trial: &Trial| now.saturating_since(trial.started_at) < TRIAL_PAUSE;
+        let is_recent = |trial: &Trial| now.saturating_since(trial.started_at) < MIN_TRIAL_INTERVAL;
         if self.trial.as_ref().is_some_and(is_recent) {
             return false;
         }
@@ -244,7 +245,12 @@
 
     /// Merges the reports with which another node answered a request sent at `asked`. Returns true
     /// if they contain a crash that was not known.
-    pub fn join(&mut self, now: Timestamp, asked: Timestamp, reports: SuspectReports) -> bool {
+    pub fn merge_reports(
+        &mut self,
+        now: Timestamp,
+        asked: Timestamp,
+        reports: SuspectReports,
+    ) -> bool {
         let mut with_new_crashes = Vec::new();
         for report in reports.suspects {
             let content = ContentFingerprint(u128::from_be_bytes(report.content));
@@ -282,7 +288,7 @@
     }
 
     /// Drops expired evidence.
-    pub fn forget_old(&mut self, now: Timestamp) {
+    pub fn drop_expired_evidence(&mut self, now: Timestamp) {
         let before = self.suspects.len();
         self.drop_expired(now);
         if self.suspects.len() != before {
@@ -296,7 +302,7 @@
     }
 
     /// Returns the contents whose blocked callers have changed since the last call.
-    pub fn take_changes(&mut self, now: Timestamp) -> Vec<Change> {
+    pub fn take_changes(&mut self, now: Timestamp) -> Vec<BlockChange> {
         let mut changes = Vec::new();
         for content in self.suspects.keys().copied().collect::<Vec<_>>() {
             let blocked = self.blocked_callers(&content);
@@ -311,7 +317,7 @@
             let times = blocked
                 .iter()
                 .filter_map(|caller| suspicion.blocked_for(caller, now, is_ambiguous));
-            changes.push(Change {
+            changes.push(BlockChange {
                 content,
                 servers: suspicion.servers().into_iter().cloned().collect(),
                 blocked_for: times.max().unwrap_or_default(),
@@ -369,8 +375,8 @@
         self.ambiguous = self.find_ambiguous_contents();
     }
 
-    /// Returns the proven contents for which fewer than [`PROOF`] crashes remain without those that
-    /// other contents may have caused. They may be the cause all the same.
+    /// Returns the proven contents for which fewer than [`PROVING_CRASHES`] remain without
+    /// those that other contents may have caused. They may be the cause all the same.
     fn find_ambiguous_contents(&self) -> HashSet<ContentFingerprint> {
         let suspects = self.suspects.iter();
         let proven = suspects.filter(|(_, suspect)| suspect.suspicion.is_proven());
@@ -383,7 +389,7 @@
             let own = usize::from(suspect.suspicion.may_explain_other_crashes());
             let servers = suspect.suspicion.servers().into_iter();
             let other_causes = |server| causes.get(server).copied().unwrap_or_default() - own;
-            servers.filter(|server| other_causes(*server) == 0).count() < PROOF
+            servers.filter(|server| other_causes(*server) == 0).count() < PROVING_CRASHES
         };
         let ambiguous = proven.into_iter().filter(is_ambiguous);
         ambiguous.map(|(content, _)| *content).collect()
--- a/crates/coordination/src/mesh/poison/suspicion.rs
+++ b/crates/coordination/src/mesh/poison/suspicion.rs
@@ -9,7 +9,7 @@
 /// Number of crashed servers, without a successful run since the first crash, that proves that a
 /// content is the cause. With two, a harmless request that was running beside the cause on one
 /// server and was sent again would be blocked as well.
-pub const PROOF: usize = 3;
+pub const PROVING_CRASHES: usize = 3;
 /// Number of crashed servers from which a content that never ran successfully is taken as a
 /// possible cause of these crashes. One may be chance: a content that is requested only once is
 /// running during at most one crash.
@@ -164,7 +164,7 @@
 
     /// Returns whether the content is proven to crash servers for at least one caller.
     pub fn is_proven(&self) -> bool {
-        self.max_crashed_servers() >= PROOF && !self.proven_callers().is_empty()
+        self.max_crashed_servers() >= PROVING_CRASHES && !self.proven_callers().is_empty()
     }
 
     /// Returns whether the content may have caused crashes that count against other contents:
@@ -226,7 +226,8 @@
     /// Returns the crashes that prove that the content crashes servers when `caller` requests it,
     /// oldest first. The crashes of all callers count together if there are at least two callers
     /// with crashes, so that the cause can't lie in the caller, and the content ran successfully
-    /// for none of them meanwhile. Otherwise each service would need its own [`PROOF`] crashes.
+    /// for none of them meanwhile. Otherwise each service would need its own
+    /// [`PROVING_CRASHES`].
     fn proving_crashes(&self, caller: &ServiceName) -> Option<Vec<SignedTimestamp>> {
         if self.is_proven_across_callers() {
             let of_all_callers: BTreeMap<_, _> = self.counted_crashes().collect();
@@ -234,13 +235,13 @@
         }
         let of_caller = self.by_caller.get(caller)?.counted_crashes();
         let of_caller = sorted_oldest_first(of_caller.map(|(_, at)| at));
-        (of_caller.len() >= PROOF).then_some(of_caller)
+        (of_caller.len() >= PROVING_CRASHES).then_some(of_caller)
     }
 
     fn is_proven_across_callers(&self) -> bool {
         let callers = self.by_caller.values();
         let crashing = callers.filter(|evidence| evidence.counted_crashes().next().is_some());
-        if crashing.count() < 2 || self.servers().len() < PROOF {
+        if crashing.count() < 2 || self.servers().len() < PROVING_CRASHES {
             return false;
         }
         let first = self.counted_crashes().map(|(_, at)| at).min();
@@ -274,7 +275,7 @@
 /// Counts the admissions after which a content crashed servers again although the first of
 /// `crashes` had proven it. `crashes` must be sorted.
 fn count_failed_trials(crashes: &[SignedTimestamp]) -> usize {
-    let pairs = crashes.windows(2).skip(PROOF - 1);
+    let pairs = crashes.windows(2).skip(PROVING_CRASHES - 1);
     pairs
         .filter(|pair| pair[1] > pair[0].plus(SAME_ADMISSION_WINDOW))
         .count()
--- a/crates/coordination/tests/mesh_poison_chance.rs
+++ b/crates/coordination/tests/mesh_poison_chance.rs
@@ -11,7 +11,7 @@
 use lifthollow_coordination::mesh::poison::content::{CallerContent, ContentFingerprint};
 use lifthollow_coordination::mesh::poison::recent_contents::RecentContents;
 use lifthollow_coordination::mesh::poison::server_runs::ServerRuns;
-use lifthollow_coordination::mesh::poison::suspects::{Suspects, Verdict};
+use lifthollow_coordination::mesh::poison::suspects::{RunDecision, Suspects};
 use lifthollow_state::mesh::InstanceId;
 use lifthollow_state::{ServiceName, Timestamp};
 use rand::{RngExt, SeedableRng};
@@ -103,8 +103,8 @@
     }
 
     fn send(&mut self, content: u128, attempts: u32) {
-        let verdict = self.suspects.verdict(self.now, &request(content));
-        if verdict != Verdict::Admitted {
+        let decision = self.suspects.decision(self.now, &request(content));
+        if decision != RunDecision::Admitted {
             self.refused += u64::from(content != POISON);
             return;
         }
@@ -136,13 +136,13 @@
     fn crash(&mut self, server: usize) {
         let now = self.now;
         let target = &mut self.servers[server];
-        let contents = target.runs.crashed(now, &target.id);
+        let contents = target.runs.take_suspected_contents(now, &target.id);
         self.crashes += 1;
         self.suspects
-            .note_crash(now, &contents, &self.servers[server].id);
+            .record_crash(now, &contents, &self.servers[server].id);
         for content in &contents {
-            if let Some(served) = self.served.last(now, content) {
-                self.suspects.note_served(served, content);
+            if let Some(served) = self.served.last_successful_run(now, content) {
+                self.suspects.record_successful_run(served, content);
             }
         }
         let (lost, kept) = self
@@ -175,8 +175,8 @@
             let run = self.running.swap_remove(index);
             let content = self.servers[run.server].runs.ended(self.now, run.id, true);
             if let Some(content) = content {
-                self.suspects.note_served(self.now, &content);
-                self.served.note(self.now, content);
+                self.suspects.record_successful_run(self.now, &content);
+                self.served.record_successful_run(self.now, content);
             }
         }
     }
--- a/crates/coordination/tests/mesh_poison_runs.rs
+++ b/crates/coordination/tests/mesh_poison_runs.rs
@@ -79,9 +79,12 @@
     runs.started(InboundId(2), content(1), &one);
     runs.started(InboundId(3), content(2), &one);
     runs.started(InboundId(4), content(3), &other);
-    assert_eq!(runs.crashed(START, &one), [content(1), content(2)]);
-    assert_eq!(runs.crashed(START, &one), []);
-    assert_eq!(runs.crashed(START, &other), [content(3)]);
+    assert_eq!(
+        runs.take_suspected_contents(START, &one),
+        [content(1), content(2)]
+    );
+    assert_eq!(runs.take_suspected_contents(START, &one), []);
+    assert_eq!(runs.take_suspected_contents(START, &other), [content(3)]);
 }
 
 #[test]
@@ -91,7 +94,7 @@
         let mut runs = ServerRuns::default();
         runs.started(InboundId(1), content(1), &server);
         runs.ended(START, InboundId(1), is_served);
-        runs.crashed(START + Duration::from_millis(milliseconds), &server)
+        runs.take_suspected_contents(START + Duration::from_millis(milliseconds), &server)
     };
     assert_eq!(suspected_after(115, false), [content(1)]);
     assert_eq!(suspected_after(1001, false), []);
--- a/crates/coordination/tests/mesh_poison_suspects.rs
+++ b/crates/coordination/tests/mesh_poison_suspects.rs
@@ -5,7 +5,9 @@
 
 use lifthollow_coordination::mesh::poison::content::{CallerContent, ContentFingerprint};
 use lifthollow_coordination::mesh::poison::recent_contents::RecentContents;
-use lifthollow_coordination::mesh::poison::suspects::{SETTLING, Suspects, Verdict, trial_server};
+use lifthollow_coordination::mesh::poison::suspects::{
+    MIN_PROOF_AGE, RunDecision, Suspects, trial_server,
+};
 use lifthollow_state::mesh::InstanceId;
 use lifthollow_state::{ServiceName, Timestamp};
 use quickcheck::{Arbitrary, Gen, quickcheck};
@@ -42,7 +44,7 @@
 fn suspects_after_crashes(count: u32) -> Suspects {
     let mut suspects = Suspects::default();
     for number in 0..count {
-        suspects.note_crash(at(f64::from(number)), &[poison()], &server(number));
+        suspects.record_crash(at(f64::from(number)), &[poison()], &server(number));
     }
     suspects
 }
@@ -50,39 +52,39 @@
 #[test]
 fn content_is_blocked_only_after_three_different_servers_crashed() {
     assert_eq!(
-        suspects_after_crashes(2).verdict(at(2.0), &poison()),
-        Verdict::Admitted
+        suspects_after_crashes(2).decision(at(2.0), &poison()),
+        RunDecision::Admitted
     );
-    let blocked = suspects_after_crashes(3).verdict(at(2.0), &poison());
-    assert_eq!(blocked, Verdict::Blocked(FIRST_BLOCK));
+    let blocked = suspects_after_crashes(3).decision(at(2.0), &poison());
+    assert_eq!(blocked, RunDecision::Blocked(FIRST_BLOCK));
     let mut reported_twice = suspects_after_crashes(2);
-    assert!(!reported_twice.note_crash(at(3.0), &[poison()], &server(1)));
+    assert!(!reported_twice.record_crash(at(3.0), &[poison()], &server(1)));
     assert_eq!(
-        reported_twice.verdict(at(3.0), &poison()),
-        Verdict::Admitted
+        reported_twice.decision(at(3.0), &poison()),
+        RunDecision::Admitted
     );
     let other = request(8);
     assert_eq!(
-        suspects_after_crashes(3).verdict(at(2.0), &other),
-        Verdict::Admitted
+        suspects_after_crashes(3).decision(at(2.0), &other),
+        RunDecision::Admitted
     );
 }
 
 #[test]
 fn successful_run_clears_content_of_earlier_crashes() {
     let mut suspects = suspects_after_crashes(3);
-    suspects.note_served(at(2.5), &poison());
-    assert_eq!(suspects.verdict(at(2.5), &poison()), Verdict::Admitted);
-    assert_eq!(suspects.crashes(&poison().content), 0);
+    suspects.record_successful_run(at(2.5), &poison());
+    assert_eq!(suspects.decision(at(2.5), &poison()), RunDecision::Admitted);
+    assert_eq!(suspects.counted_crashes(&poison().content), 0);
 }
 
 #[test]
 fn crash_within_10_s_after_a_successful_run_is_not_counted() {
     let served_before_crash = |seconds: f64| {
         let mut suspects = suspects_after_crashes(1);
-        suspects.note_served(at(10.0), &poison());
-        suspects.note_crash(at(10.0 + seconds), &[poison()], &server(9));
-        suspects.crashes(&poison().content)
+        suspects.record_successful_run(at(10.0), &poison());
+        suspects.record_crash(at(10.0 + seconds), &[poison()], &server(9));
+        suspects.counted_crashes(&poison().content)
     };
     assert_eq!(served_before_crash(9.9), 0);
     assert_eq!(served_before_crash(10.1), 1);
@@ -97,14 +99,17 @@
     let frequent = request(8);
     for crash in 0..6 {
         let contents = [poison(), frequent.clone()];
-        suspects.note_crash(at(20.0 + f64::from(crash) * 0.9), &contents, &server(crash));
-        suspects.note_served(at(19.0), &frequent);
+        suspects.record_crash(at(20.0 + f64::from(crash) * 0.9), &contents, &server(crash));
+        suspects.record_successful_run(at(19.0), &frequent);
     }
     assert!(matches!(
-        suspects.verdict(at(25.0), &poison()),
-        Verdict::Blocked(_)
+        suspects.decision(at(25.0), &poison()),
+        RunDecision::Blocked(_)
     ));
-    assert_eq!(suspects.verdict(at(25.0), &frequent), Verdict::Admitted);
+    assert_eq!(
+        suspects.decision(at(25.0), &frequent),
+        RunDecision::Admitted
+    );
 }
 
 /// The crashes begin before either of the two contents has run successfully.
@@ -114,27 +119,27 @@
     let mut suspects = Suspects::default();
     for crash in 0..3 {
         let contents = [poison(), frequent.clone()];
-        suspects.note_crash(at(f64::from(crash) * 0.1), &contents, &server(crash));
+        suspects.record_crash(at(f64::from(crash) * 0.1), &contents, &server(crash));
     }
     // Up to here there is the same evidence against both contents.
     assert!(matches!(
-        suspects.verdict(at(0.3), &frequent),
-        Verdict::Blocked(_)
+        suspects.decision(at(0.3), &frequent),
+        RunDecision::Blocked(_)
     ));
-    suspects.note_served(at(3.0), &request_of(8, "media"));
-    assert_eq!(suspects.verdict(at(3.0), &frequent), Verdict::Admitted);
+    suspects.record_successful_run(at(3.0), &request_of(8, "media"));
+    assert_eq!(suspects.decision(at(3.0), &frequent), RunDecision::Admitted);
     assert!(matches!(
-        suspects.verdict(at(3.0), &poison()),
-        Verdict::Blocked(_)
+        suspects.decision(at(3.0), &poison()),
+        RunDecision::Blocked(_)
     ));
     // Crashes without the other content are not explained by it; three of them are a proof.
     for crash in 0..3 {
-        assert_eq!(suspects.verdict(at(4.0), &frequent), Verdict::Admitted);
-        suspects.note_crash(at(4.0), std::slice::from_ref(&frequent), &server(9 + crash));
+        assert_eq!(suspects.decision(at(4.0), &frequent), RunDecision::Admitted);
+        suspects.record_crash(at(4.0), std::slice::from_ref(&frequent), &server(9 + crash));
     }
     assert!(matches!(
-        suspects.verdict(at(4.0), &frequent),
-        Verdict::Blocked(_)
+        suspects.decision(at(4.0), &frequent),
+        RunDecision::Blocked(_)
     ));
 }
 
@@ -145,46 +150,46 @@
 fn explained_crashes_and_one_unexplained_crash_do_not_block_a_content() {
     let frequent = request(8);
     let mut suspects = Suspects::default();
-    suspects.note_crash(at(0.0), std::slice::from_ref(&frequent), &server(0));
+    suspects.record_crash(at(0.0), std::slice::from_ref(&frequent), &server(0));
     for crash in 1..3 {
         let contents = [poison(), frequent.clone()];
-        suspects.note_crash(at(f64::from(crash)), &contents, &server(crash));
+        suspects.record_crash(at(f64::from(crash)), &contents, &server(crash));
     }
-    suspects.note_served(at(2.5), &request_of(8, "media"));
-    assert_eq!(suspects.verdict(at(2.6), &frequent), Verdict::Admitted);
+    suspects.record_successful_run(at(2.5), &request_of(8, "media"));
+    assert_eq!(suspects.decision(at(2.6), &frequent), RunDecision::Admitted);
 }
 
 #[test]
 fn block_ends_with_a_trial_and_grows_longer_after_each_failed_trial() {
     let mut suspects = suspects_after_crashes(3);
     assert_eq!(
-        suspects.verdict(at(31.9), &poison()),
-        Verdict::Blocked(Duration::from_millis(100))
+        suspects.decision(at(31.9), &poison()),
+        RunDecision::Blocked(Duration::from_millis(100))
     );
-    assert_eq!(suspects.verdict(at(32.0), &poison()), Verdict::OnTrial);
+    assert_eq!(suspects.decision(at(32.0), &poison()), RunDecision::OnTrial);
     // Crashes by copies that were in flight when the content was proven don't extend the block.
-    suspects.note_crash(at(2.5), &[poison()], &server(9));
-    assert_eq!(suspects.verdict(at(32.5), &poison()), Verdict::OnTrial);
-    suspects.note_crash(at(33.0), &[poison()], &server(10));
-    let five_minutes = Verdict::Blocked(Duration::from_secs(300));
-    assert_eq!(suspects.verdict(at(33.0), &poison()), five_minutes);
-    suspects.note_crash(at(400.0), &[poison()], &server(11));
-    let an_hour = Verdict::Blocked(Duration::from_secs(3600));
-    assert_eq!(suspects.verdict(at(400.0), &poison()), an_hour);
+    suspects.record_crash(at(2.5), &[poison()], &server(9));
+    assert_eq!(suspects.decision(at(32.5), &poison()), RunDecision::OnTrial);
+    suspects.record_crash(at(33.0), &[poison()], &server(10));
+    let five_minutes = RunDecision::Blocked(Duration::from_secs(300));
+    assert_eq!(suspects.decision(at(33.0), &poison()), five_minutes);
+    suspects.record_crash(at(400.0), &[poison()], &server(11));
+    let an_hour = RunDecision::Blocked(Duration::from_secs(3600));
+    assert_eq!(suspects.decision(at(400.0), &poison()), an_hour);
 }
 
 #[test]
 fn contents_without_new_crashes_are_forgotten() {
     let mut suspected = suspects_after_crashes(2);
-    suspected.forget_old(at(1.0 + 599.0));
+    suspected.drop_expired_evidence(at(1.0 + 599.0));
     assert_eq!(suspected.counts(), (1, 0));
-    suspected.forget_old(at(1.0 + 601.0));
+    suspected.drop_expired_evidence(at(1.0 + 601.0));
     assert_eq!(suspected.counts(), (0, 0));
     assert_eq!(suspected.digest(), 0);
     let mut proven = suspects_after_crashes(3);
-    proven.forget_old(at(2.0 + 3629.0));
+    proven.drop_expired_evidence(at(2.0 + 3629.0));
     assert_eq!(proven.counts(), (1, 1));
-    proven.forget_old(at(2.0 + 3631.0));
+    proven.drop_expired_evidence(at(2.0 + 3631.0));
     assert_eq!(proven.counts(), (0, 0));
 }
 
@@ -206,9 +211,9 @@
     assert!(!suspects.begin_trial(at(41.9), &frequent.content));
     assert!(suspects.begin_trial(at(42.0), &frequent.content));
     // A successful run before the trial began doesn't end the trial.
-    suspects.note_served(at(41.0), &frequent);
+    suspects.record_successful_run(at(41.0), &frequent);
     assert!(!suspects.begin_trial(at(42.1), &poison().content));
-    suspects.note_served(at(42.2), &frequent);
+    suspects.record_successful_run(at(42.2), &frequent);
     assert!(suspects.begin_trial(at(42.2), &poison().content));
 }
 
@@ -221,7 +226,7 @@
     let (frequent, second) = (request(8), request(9));
     let mut suspects = Suspects::default();
     for (number, cause) in (0..).zip([poison(), poison(), second]) {
-        suspects.note_crash(
+        suspects.record_crash(
             at(f64::from(number)),
             &[cause, frequent.clone()],
             &server(number),
@@ -229,17 +234,20 @@
     }
     let short_block = Duration::from_secs(12);
     assert_eq!(
-        suspects.verdict(at(2.0), &frequent),
-        Verdict::Blocked(short_block)
+        suspects.decision(at(2.0), &frequent),
+        RunDecision::Blocked(short_block)
     );
     assert_eq!(suspects.take_changes(at(2.0))[0].blocked_for, short_block);
-    assert_eq!(suspects.verdict(at(14.0), &frequent), Verdict::OnTrial);
+    assert_eq!(suspects.decision(at(14.0), &frequent), RunDecision::OnTrial);
     let mut crashed = suspects.clone();
-    crashed.note_crash(at(14.1), std::slice::from_ref(&frequent), &server(3));
-    let five_minutes = Verdict::Blocked(Duration::from_secs(300));
-    assert_eq!(crashed.verdict(at(14.1), &frequent), five_minutes);
-    suspects.note_served(at(14.1), &frequent);
-    assert_eq!(suspects.verdict(at(14.1), &frequent), Verdict::Admitted);
+    crashed.record_crash(at(14.1), std::slice::from_ref(&frequent), &server(3));
+    let five_minutes = RunDecision::Blocked(Duration::from_secs(300));
+    assert_eq!(crashed.decision(at(14.1), &frequent), five_minutes);
+    suspects.record_successful_run(at(14.1), &frequent);
+    assert_eq!(
+        suspects.decision(at(14.1), &frequent),
+        RunDecision::Admitted
+    );
 }
 
 /// A successful run of the other content shows that it is not the cause.
@@ -249,13 +257,13 @@
     let mut suspects = Suspects::default();
     for number in 0..3 {
         let contents = [poison(), frequent.clone()];
-        suspects.note_crash(at(f64::from(number)), &contents, &server(number));
+        suspects.record_crash(at(f64::from(number)), &contents, &server(number));
     }
-    let doubtful = Verdict::Blocked(Duration::from_secs(11));
-    assert_eq!(suspects.verdict(at(3.0), &poison()), doubtful);
-    suspects.note_served(at(3.0), &frequent);
-    let certain = Verdict::Blocked(Duration::from_secs(29));
-    assert_eq!(suspects.verdict(at(3.0), &poison()), certain);
+    let doubtful = RunDecision::Blocked(Duration::from_secs(11));
+    assert_eq!(suspects.decision(at(3.0), &poison()), doubtful);
+    suspects.record_successful_run(at(3.0), &frequent);
+    let certain = RunDecision::Blocked(Duration::from_secs(29));
+    assert_eq!(suspects.decision(at(3.0), &poison()), certain);
 }
 
 /// Other requests that were running during one crash each don't count as possible causes.
@@ -264,10 +272,10 @@
     let mut suspects = Suspects::default();
     for number in 0..3 {
         let contents = [poison(), request(100 + u128::from(number))];
-        suspects.note_crash(at(f64::from(number)), &contents, &server(number));
+        suspects.record_crash(at(f64::from(number)), &contents, &server(number));
     }
-    let blocked = suspects.verdict(at(2.0), &poison());
-    assert_eq!(blocked, Verdict::Blocked(FIRST_BLOCK));
+    let blocked = suspects.decision(at(2.0), &poison());
+    assert_eq!(blocked, RunDecision::Blocked(FIRST_BLOCK));
 }
 
 #[test]
@@ -291,7 +299,7 @@
     assert_eq!(changes[0].blocked_callers, [poison().caller]);
     assert_eq!(changes[0].servers, [server(0), server(1), server(2)]);
     assert_eq!(suspects.take_changes(at(2.0)), []);
-    suspects.note_served(at(3.0), &poison());
+    suspects.record_successful_run(at(3.0), &poison());
     assert!(suspects.take_changes(at(3.0))[0].blocked_callers.is_empty());
 }
 
@@ -302,34 +310,37 @@
         let contents: Vec<_> = (0..140)
             .map(|run| request(1000 + crash * 140 + run))
             .collect();
-        suspects.note_crash(at(10.0), &contents, &server(100 + crash as u32));
+        suspects.record_crash(at(10.0), &contents, &server(100 + crash as u32));
     }
     assert_eq!(suspects.counts(), (1024, 1));
     assert!(matches!(
-        suspects.verdict(at(11.0), &poison()),
-        Verdict::Blocked(_)
+        suspects.decision(at(11.0), &poison()),
+        RunDecision::Blocked(_)
     ));
 }
 
 #[test]
 fn last_successful_run_of_a_content_is_remembered_and_expires() {
     let mut recent = RecentContents::default();
-    recent.note(at(100.0), poison());
-    recent.note(at(104.0), poison());
-    assert_eq!(recent.last(at(113.9), &poison()), Some(at(104.0)));
-    assert_eq!(recent.last(at(125.0), &poison()), None);
-    assert_eq!(recent.last(at(113.9), &request(8)), None);
+    recent.record_successful_run(at(100.0), poison());
+    recent.record_successful_run(at(104.0), poison());
+    assert_eq!(
+        recent.last_successful_run(at(113.9), &poison()),
+        Some(at(104.0))
+    );
+    assert_eq!(recent.last_successful_run(at(125.0), &poison()), None);
+    assert_eq!(recent.last_successful_run(at(113.9), &request(8)), None);
 }
 
 #[test]
 fn crashes_during_requests_of_two_callers_count_together() {
     let mut suspects = Suspects::default();
-    suspects.note_crash(at(0.0), &[request_of(7, "media")], &server(0));
-    suspects.note_crash(at(0.1), &[request_of(7, "media")], &server(1));
-    suspects.note_crash(at(0.2), &[request_of(7, "feeds")], &server(2));
+    suspects.record_crash(at(0.0), &[request_of(7, "media")], &server(0));
+    suspects.record_crash(at(0.1), &[request_of(7, "media")], &server(1));
+    suspects.record_crash(at(0.2), &[request_of(7, "feeds")], &server(2));
     for caller in ["media", "feeds", "a service that has not called"] {
-        let verdict = suspects.verdict(at(0.2), &request_of(7, caller));
-        assert_eq!(verdict, Verdict::Blocked(FIRST_BLOCK), "{caller}");
+        let decision = suspects.decision(at(0.2), &request_of(7, caller));
+        assert_eq!(decision, RunDecision::Blocked(FIRST_BLOCK), "{caller}");
     }
 }
 
@@ -340,21 +351,21 @@
     let frequent = request_of(8, "creator");
     let second = request(9);
     let mut suspects = Suspects::default();
-    suspects.note_served(at(0.0), &request_of(8, "feeds"));
+    suspects.record_successful_run(at(0.0), &request_of(8, "feeds"));
     let causes = [poison(), second.clone(), poison(), second.clone()];
     for (number, cause) in (0..).zip(causes) {
         let contents = [cause, frequent.clone()];
-        suspects.note_crash(at(f64::from(number) * 0.1), &contents, &server(number));
+        suspects.record_crash(at(f64::from(number) * 0.1), &contents, &server(number));
     }
     // A crash without a known cause.
-    suspects.note_crash(at(0.5), &[frequent.clone(), request(100)], &server(4));
-    suspects.note_served(at(0.5), &request_of(8, "feeds"));
-    assert_eq!(suspects.verdict(at(0.6), &frequent), Verdict::Admitted);
-    suspects.note_crash(at(0.7), &[poison()], &server(5));
-    assert_eq!(suspects.verdict(at(0.8), &frequent), Verdict::Admitted);
+    suspects.record_crash(at(0.5), &[frequent.clone(), request(100)], &server(4));
+    suspects.record_successful_run(at(0.5), &request_of(8, "feeds"));
+    assert_eq!(suspects.decision(at(0.6), &frequent), RunDecision::Admitted);
+    suspects.record_crash(at(0.7), &[poison()], &server(5));
+    assert_eq!(suspects.decision(at(0.8), &frequent), RunDecision::Admitted);
     assert!(matches!(
-        suspects.verdict(at(0.8), &poison()),
-        Verdict::Blocked(_)
+        suspects.decision(at(0.8), &poison()),
+        RunDecision::Blocked(_)
     ));
 }
 
@@ -365,11 +376,11 @@
     let mut suspects = Suspects::default();
     for number in 0..3 {
         let contents = [request(u128::from(number) + 100), by_caller.clone()];
-        suspects.note_crash(at(f64::from(number) * 0.1), &contents, &server(number));
+        suspects.record_crash(at(f64::from(number) * 0.1), &contents, &server(number));
     }
-    suspects.note_served(at(0.4), &request_of(8, "feeds"));
-    let verdict = suspects.verdict(at(0.5), &by_caller);
-    assert!(matches!(verdict, Verdict::Blocked(_)), "{verdict:?}");
+    suspects.record_successful_run(at(0.4), &request_of(8, "feeds"));
+    let decision = suspects.decision(at(0.5), &by_caller);
+    assert!(matches!(decision, RunDecision::Blocked(_)), "{decision:?}");
 }
 
 /// A node may learn of a crash some milliseconds before it learns of successful runs at other
@@ -377,21 +388,21 @@
 #[test]
 fn requests_wait_before_they_are_refused_for_a_new_proof() {
     let suspects = suspects_after_crashes(3);
-    let left = suspects.settles_in(at(2.0) + Duration::from_millis(30), &poison());
-    assert_eq!(left, SETTLING - Duration::from_millis(30));
-    assert_eq!(suspects.settles_in(at(2.2), &poison()), Duration::ZERO);
-    assert_eq!(suspects.settles_in(at(2.0), &request(8)), Duration::ZERO);
+    let left = suspects.refusal_delay(at(2.0) + Duration::from_millis(30), &poison());
+    assert_eq!(left, MIN_PROOF_AGE - Duration::from_millis(30));
+    assert_eq!(suspects.refusal_delay(at(2.2), &poison()), Duration::ZERO);
+    assert_eq!(suspects.refusal_delay(at(2.0), &request(8)), Duration::ZERO);
     let not_proven = suspects_after_crashes(2);
-    assert_eq!(not_proven.settles_in(at(1.0), &poison()), Duration::ZERO);
+    assert_eq!(not_proven.refusal_delay(at(1.0), &poison()), Duration::ZERO);
 }
 
 #[test]
 fn successful_runs_are_remembered_for_each_caller_of_a_content() {
     let mut recent = RecentContents::default();
-    recent.note(at(1.0), request_of(8, "feeds"));
-    recent.note(at(1.5), request_of(8, "media"));
-    recent.note(at(2.0), request_of(9, "feeds"));
-    let known = recent.served(at(3.0), ContentFingerprint(8));
+    recent.record_successful_run(at(1.0), request_of(8, "feeds"));
+    recent.record_successful_run(at(1.5), request_of(8, "media"));
+    recent.record_successful_run(at(2.0), request_of(9, "feeds"));
+    let known = recent.successful_runs_by_caller(at(3.0), ContentFingerprint(8));
     let expected = [
         (request_of(8, "feeds"), at(1.0)),
         (request_of(8, "media"), at(1.5)),
@@ -403,14 +414,14 @@
 fn block_for_one_caller_does_not_apply_to_another_caller() {
     let mut suspects = suspects_after_crashes(5);
     let other = request_of(7, "media");
-    assert_eq!(suspects.verdict(at(5.0), &other), Verdict::Admitted);
+    assert_eq!(suspects.decision(at(5.0), &other), RunDecision::Admitted);
     // The other caller's request was running during a crash by chance and runs successfully.
-    suspects.note_crash(at(6.0), std::slice::from_ref(&other), &server(9));
-    suspects.note_served(at(6.5), &other);
-    assert_eq!(suspects.verdict(at(6.5), &other), Verdict::Admitted);
+    suspects.record_crash(at(6.0), std::slice::from_ref(&other), &server(9));
+    suspects.record_successful_run(at(6.5), &other);
+    assert_eq!(suspects.decision(at(6.5), &other), RunDecision::Admitted);
     assert!(matches!(
-        suspects.verdict(at(6.5), &poison()),
-        Verdict::Blocked(_)
+        suspects.decision(at(6.5), &poison()),
+        RunDecision::Blocked(_)
     ));
 }
 
@@ -420,7 +431,7 @@
     let after = |started_ms: u64| {
         let mut suspects = Suspects::default();
         let start = server(1).started_at(started_ms);
-        suspects.note_crash(at(1.0), &[poison()], &start);
+        suspects.record_crash(at(1.0), &[poison()], &start);
         suspects
     };
     assert_ne!(after(1).digest(), after(2).digest());
@@ -462,14 +473,14 @@
             let reports = reporting.reports(clock);
             clock = asked + request_time + response_time;
             let mut asking = Suspects::default();
-            asking.join(clock, asked, reports);
+            asking.merge_reports(clock, asked, reports);
             reporting = asking;
         }
         let left = FIRST_BLOCK.saturating_sub(elapsed);
-        match reporting.verdict(clock, &poison()) {
-            Verdict::Blocked(remaining) => remaining <= left,
-            Verdict::OnTrial => true,
-            Verdict::Admitted => false,
+        match reporting.decision(clock, &poison()) {
+            RunDecision::Blocked(remaining) => remaining <= left,
+            RunDecision::OnTrial => true,
+            RunDecision::Admitted => false,
         }
     }
 
@@ -482,21 +493,21 @@
             let node = &mut nodes[usize::from(node % 2)];
             let content = request((content % 4).into());
             if *is_served {
-                node.note_served(now, &content);
+                node.record_successful_run(now, &content);
             } else {
-                node.note_crash(now, &[content], &server((by % 8).into()));
+                node.record_crash(now, &[content], &server((by % 8).into()));
             }
         }
         let now = at(events.len() as f64);
         let [mut one, mut other] = nodes;
         if is_one_first {
-            one.join(now, now, other.reports(now));
-            other.join(now, now, one.reports(now));
+            one.merge_reports(now, now, other.reports(now));
+            other.merge_reports(now, now, one.reports(now));
         } else {
-            other.join(now, now, one.reports(now));
-            one.join(now, now, other.reports(now));
+            other.merge_reports(now, now, one.reports(now));
+            one.merge_reports(now, now, other.reports(now));
         }
-        (0..4).map(ContentFingerprint).all(|content| one.crashes(&content) == other.crashes(&content))
+        (0..4).map(ContentFingerprint).all(|content| one.counted_crashes(&content) == other.counted_crashes(&content))
             && one.digest() == other.digest()
     }
 }
--- a/crates/proxy/src/inbound/admission.rs
+++ b/crates/proxy/src/inbound/admission.rs
@@ -63,7 +63,7 @@
         let is_served = self.end == RunEnd::Served && self.is_complete.get();
         let content = state.server_runs.ended(now, self.run, is_served);
         if let Some(content) = content.filter(|_| is_served) {
-            suspects::record_served_run(&mut state, now, content);
+            suspects::record_successful_run(&mut state, now, content);
         }
         let started = state
             .admission
--- a/crates/proxy/src/inbound/crash_detector.rs
+++ b/crates/proxy/src/inbound/crash_detector.rs
@@ -125,7 +125,9 @@
 fn record_crash(node: &Rc<Node>, server: &InstanceId) {
     let contents = {
         let mut state = node.state.borrow_mut();
-        state.server_runs.crashed(node.now(), server)
+        state
+            .server_runs
+            .take_suspected_contents(node.now(), server)
     };
     if contents.is_empty() {
         // The server ran no request: it has not started yet, or stopped long ago.
--- a/crates/proxy/src/inbound/mod.rs
+++ b/crates/proxy/src/inbound/mod.rs
@@ -162,7 +162,7 @@
     if let Some(refused) = refusal(node, &attempt) {
         return refused;
     }
-    permission::wait_until_settled(node, &attempt.content).await;
+    permission::wait_for_refusal_delay(node, &attempt.content).await;
     if let Some(refused) = refuse_server_crashing(node, &attempt) {
         return refused;
     }
--- a/crates/proxy/src/inbound/server_run.rs
+++ b/crates/proxy/src/inbound/server_run.rs
@@ -60,7 +60,10 @@
     let (response, lease) = match sent {
         Ok(answered) => answered,
         Err(SendError::NotSent(error)) => {
-            node.state.borrow_mut().server_runs.not_run(permit.run);
+            node.state
+                .borrow_mut()
+                .server_runs
+                .remove_unstarted(permit.run);
             crash_detector::note_refused(node, &server, &error);
             return AttemptOutcome::not_run(NotRunReason::ServerUnreachable);
         }
@@ -81,7 +84,10 @@
         return AttemptOutcome::unknown(UnknownReason::AnswerInvalid);
     }
     if let Some(end) = server_refusal(node, response.status(), response.headers()) {
-        node.state.borrow_mut().server_runs.not_run(permit.run);
+        node.state
+            .borrow_mut()
+            .server_runs
+            .remove_unstarted(permit.run);
         if is_misdirected {
             // Another server instance listens at the address: the intended one has failed no run.
             permit.end = RunEnd::Abandoned;
--- a/crates/proxy/src/node/mod.rs
+++ b/crates/proxy/src/node/mod.rs
@@ -86,7 +86,7 @@
     /// The requests that run at the server beside this node, to be reported if it crashes.
     pub server_runs: ServerRuns,
     /// Contents of requests that the server beside this node recently ran successfully.
-    pub served_lately: RecentContents,
+    pub recent_successful_runs: RecentContents,
     /// Reports about requests that may crash servers.
     pub suspects: Suspects,
     /// Tenants' keys and rate limits.
@@ -201,7 +201,7 @@
             budgets: RetryBudgets::new(settings.retry_bound),
             admission: ServerAdmission::new(&settings.service, DEFAULT_SERVER_SLOTS),
             server_runs: ServerRuns::default(),
-            served_lately: RecentContents::default(),
+            recent_successful_runs: RecentContents::default(),
             suspects: Suspects::default(),
             tenants: TenantState::default(),
             waiters: HashMap::new(),
--- a/crates/proxy/src/outbound/attempts.rs
+++ b/crates/proxy/src/outbound/attempts.rs
@@ -13,7 +13,7 @@
     AttemptEnd, Call, FinalAnswer, NextStep, NotRunReason, UnknownReason,
 };
 use lifthollow_coordination::mesh::nested_calls;
-use lifthollow_coordination::mesh::poison::suspicion::PROOF;
+use lifthollow_coordination::mesh::poison::suspicion::PROVING_CRASHES;
 use lifthollow_coordination::mesh::retry_budget::{RetryBudgets, RetryKind};
 use lifthollow_coordination::mesh::server_requirements::{Candidates, ServerRequirements};
 use lifthollow_coordination::mesh::server_selection::Choice;
@@ -55,7 +55,7 @@
     let deadline = node.clock.instant(call.deadline()).into();
     let mut pending: FuturesUnordered<PendingAttempt> = FuturesUnordered::new();
     let mut reuse = Reuse::Any;
-    permission::wait_until_settled(node, &request.content).await;
+    permission::wait_for_refusal_delay(node, &request.content).await;
     let mut watch = match start_attempt(node, request, &mut call, reuse, &mut pending) {
         Ok(watch) => watch,
         Err(answer) => return finish(node, request, answer),
@@ -97,7 +97,7 @@
             NextStep::Finish(answer) => answer,
             NextStep::Attempt if request.body.is_spent() => call.give_up(),
             NextStep::Attempt => {
-                permission::wait_until_settled(node, &request.content).await;
+                permission::wait_for_refusal_delay(node, &request.content).await;
                 match start_attempt(node, request, &mut call, reuse, &mut pending) {
                     Ok(next_watch) => {
                         watch = next_watch;
@@ -307,7 +307,7 @@
     node.state
         .borrow()
         .suspects
-        .crashes(&request.content.content)
+        .counted_crashes(&request.content.content)
 }
 
 /// Whether another attempt may be sent although a server may have run the request.
@@ -316,7 +316,7 @@
 /// its third run proves that, and that run should be its caller's next try rather than one of many
 /// retries.
 fn may_retry(node: &Rc<Node>, request: &RoutedRequest) -> bool {
-    crash_count(node, request) + 1 < PROOF && try_take_retry(node, request)
+    crash_count(node, request) + 1 < PROVING_CRASHES && try_take_retry(node, request)
 }
 
 /// Records at this node, without waiting for a report, that the server crashed while it ran this
--- a/crates/proxy/src/suspects/exchange.rs
+++ b/crates/proxy/src/suspects/exchange.rs
@@ -22,7 +22,7 @@
 use crate::node::Node;
 use crate::peer_client::{self, FetchError};
 use crate::peer_headers;
-use crate::suspects::{clear_served_contents, log_changes};
+use crate::suspects::{clear_successfully_run_contents, log_changes};
 
 /// How many nodes a crash is announced to at once. Each node that learns of it announces it to as
 /// many others: of 300 nodes this reaches all but about 5% (1/e³), the rest with their next
@@ -134,9 +134,9 @@
     let is_new = {
         let mut state = node.state.borrow_mut();
         let now = node.now();
-        let is_new = state.suspects.join(now, sent_at, reports);
+        let is_new = state.suspects.merge_reports(now, sent_at, reports);
         let known = state.suspects.contents();
-        clear_served_contents(&mut state, now, known);
+        clear_successfully_run_contents(&mut state, now, known);
         is_new
     };
     log_changes(node, &from.to_string());
--- a/crates/proxy/src/suspects/mod.rs
+++ b/crates/proxy/src/suspects/mod.rs
@@ -22,8 +22,8 @@
     let now = node.now();
     let is_new = {
         let mut state = node.state.borrow_mut();
-        let is_new = state.suspects.note_crash(now, contents, server);
-        clear_served_contents(&mut state, now, contents.iter().map(|one| one.content));
+        let is_new = state.suspects.record_crash(now, contents, server);
+        clear_successfully_run_contents(&mut state, now, contents.iter().map(|one| one.content));
         is_new
     };
     log_changes(node, "own");
@@ -38,29 +38,38 @@
     let now = node.now();
     let mut state = node.state.borrow_mut();
     let running = std::slice::from_ref(content);
-    state.suspects.note_crash(now, running, server);
-    clear_served_contents(&mut state, now, [content.content]);
+    state.suspects.record_crash(now, running, server);
+    clear_successfully_run_contents(&mut state, now, [content.content]);
     drop(state);
     log_changes(node, "attempt");
 }
 
 /// Records that the server beside this node ran a request with `content` to its end.
-pub(crate) fn record_served_run(state: &mut TrafficState, now: Timestamp, content: CallerContent) {
-    state.suspects.note_served(now, &content);
-    state.served_lately.note(now, content);
+pub(crate) fn record_successful_run(
+    state: &mut TrafficState,
+    now: Timestamp,
+    content: CallerContent,
+) {
+    state.suspects.record_successful_run(now, &content);
+    state
+        .recent_successful_runs
+        .record_successful_run(now, content);
 }
 
 /// Counts recent successful runs of `contents` at the server beside this node against the suspicion
 /// that they cause crashes. Runs for other callers count too: they tell whether the content or its
 /// caller is the cause.
-fn clear_served_contents(
+fn clear_successfully_run_contents(
     state: &mut TrafficState,
     now: Timestamp,
     contents: impl IntoIterator<Item = ContentFingerprint>,
 ) {
     for content in contents {
-        for (request, served) in state.served_lately.served(now, content) {
-            state.suspects.note_served(served, &request);
+        for (request, served) in state
+            .recent_successful_runs
+            .successful_runs_by_caller(now, content)
+        {
+            state.suspects.record_successful_run(served, &request);
         }
     }
 }
@@ -68,7 +77,7 @@
 /// Forgets expired reports of crashes, and updates the gauges of suspected and proven contents.
 pub(crate) fn expire_and_update_gauges(node: &Rc<Node>) {
     let mut state = node.state.borrow_mut();
-    state.suspects.forget_old(node.now());
+    state.suspects.drop_expired_evidence(node.now());
     let (suspected, proven) = state.suspects.counts();
     drop(state);
     let gauge = &node.metrics.suspects;
--- a/crates/proxy/src/suspects/permission.rs
+++ b/crates/proxy/src/suspects/permission.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use lifthollow_coordination::mesh::poison::content::CallerContent;
-use lifthollow_coordination::mesh::poison::suspects::{TRIAL_PAUSE, Verdict, trial_server};
+use lifthollow_coordination::mesh::poison::suspects::{
+    MIN_TRIAL_INTERVAL, RunDecision, trial_server,
+};
 use lifthollow_state::mesh::InstanceId;
 use slog::info;
 use tokio::time::sleep;
@@ -15,8 +17,8 @@
 /// few servers for one.
 const SINGLE_SERVER_RETRY_AFTER: Duration = Duration::from_secs(30);
 /// Time after which callers may retry a request while a trial is under way, or if its trial must run
-/// at another server: by then that trial is over and [`TRIAL_PAUSE`] has passed.
-const ONGOING_TRIAL_RETRY_AFTER: Duration = TRIAL_PAUSE;
+/// at another server: by then that trial is over and [`MIN_TRIAL_INTERVAL`] has passed.
+const ONGOING_TRIAL_RETRY_AFTER: Duration = MIN_TRIAL_INTERVAL;
 
 /// Where a request may run.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -32,10 +34,10 @@
 /// Returns where a request with `content` to `service` may run.
 pub(crate) fn permission(node: &Rc<Node>, service: &str, content: &CallerContent) -> Permission {
     let state = node.state.borrow();
-    match state.suspects.verdict(node.now(), content) {
-        Verdict::Admitted => Permission::Anywhere,
-        Verdict::Blocked(time) => Permission::Blocked(time),
-        Verdict::OnTrial => {
+    match state.suspects.decision(node.now(), content) {
+        RunDecision::Admitted => Permission::Anywhere,
+        RunDecision::Blocked(time) => Permission::Blocked(time),
+        RunDecision::OnTrial => {
             let servers = state.snapshots.servers_in_force().into_iter();
             let ready = servers.filter(|server| server.service == service && server.is_ready());
             let ready: Vec<InstanceId> = ready.map(|server| server.id).collect();
@@ -49,10 +51,10 @@
 
 /// Waits until reports about `content` are no longer so recent that other nodes may know more about
 /// the crash: the request could otherwise be refused without need.
-pub(crate) async fn wait_until_settled(node: &Rc<Node>, content: &CallerContent) {
+pub(crate) async fn wait_for_refusal_delay(node: &Rc<Node>, content: &CallerContent) {
     loop {
         let now = node.now();
-        let left = node.state.borrow().suspects.settles_in(now, content);
+        let left = node.state.borrow().suspects.refusal_delay(now, content);
         if left.is_zero() {
             return;
         }
