--- a/crates/coordination/src/mesh/tenants/authentication.rs
+++ b/crates/coordination/src/mesh/tenants/authentication.rs
@@ -34,13 +34,13 @@
 
 /// Age that a node's configuration view must not reach for the node to accept keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OldestView(Duration);
+pub struct MaxViewAge(Duration);
 
-impl OldestView {
+impl MaxViewAge {
     /// Returns the view age with which all nodes, connected or not, reject revoked keys within
     /// `revocation`.
     pub fn for_revocation(revocation: Duration) -> Self {
-        OldestView(revocation.mul_f64(1.0 - REVOCATION_MARGIN))
+        MaxViewAge(revocation.mul_f64(1.0 - REVOCATION_MARGIN))
     }
 }
 
@@ -93,7 +93,7 @@
         route: &Route,
         key: Option<KeyDigest>,
         view_age: Option<Duration>,
-        max_view_age: Option<OldestView>,
+        max_view_age: Option<MaxViewAge>,
     ) -> Result<Option<Arc<Tenant>>, Denial> {
         if !self.has_tenants {
             return Ok(None);
@@ -109,7 +109,7 @@
         &self,
         key: Option<KeyDigest>,
         view_age: Option<Duration>,
-        max_view_age: Option<OldestView>,
+        max_view_age: Option<MaxViewAge>,
     ) -> Result<Arc<Tenant>, Denial> {
         let key = key.ok_or(Denial::NoKey)?;
         let is_older_than = |limit: Duration| view_age.is_none_or(|age| age >= limit);
@@ -119,7 +119,7 @@
                 false => Denial::UnknownKey,
             });
         };
-        if max_view_age.is_some_and(|OldestView(limit)| is_older_than(limit)) {
+        if max_view_age.is_some_and(|MaxViewAge(limit)| is_older_than(limit)) {
             return Err(Denial::ViewTooOld);
         }
         Ok(tenant.clone())
--- a/crates/coordination/src/mesh/tenants/borrower.rs
+++ b/crates/coordination/src/mesh/tenants/borrower.rs
@@ -9,7 +9,7 @@
 use lifthollow_state::Timestamp;
 
 use crate::mesh::tenants::fleet_quota::FleetQuota;
-use crate::mesh::tenants::lender::{Loan, Question};
+use crate::mesh::tenants::lender::{Loan, TokenRequest};
 
 /// Time after which borrowed tokens that were not used expire.
 const LOAN_EXPIRY: Duration = Duration::from_secs(1);
@@ -24,7 +24,7 @@
 
 /// Result of taking a token for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum TokenDecision {
     /// The request has a token and may run.
     Token,
     /// There is no token; the request may get one once the lender has answered.
@@ -77,7 +77,7 @@
     }
 
     /// Counts a new request and takes a token for it if there is one.
-    pub fn arrive(&mut self, now: Timestamp, quota: &FleetQuota) -> Taken {
+    pub fn arrive(&mut self, now: Timestamp, quota: &FleetQuota) -> TokenDecision {
         self.update_counters(now, quota);
         self.demand += 1.0;
         self.arrived_since_ask = self.arrived_since_ask.saturating_add(1);
@@ -85,29 +85,29 @@
     }
 
     /// Takes a token, if there is one, for a request that waited for the lender's answer.
-    pub fn take_after_answer(&mut self, now: Timestamp, quota: &FleetQuota) -> Taken {
+    pub fn take_token_after_answer(&mut self, now: Timestamp, quota: &FleetQuota) -> TokenDecision {
         self.update_counters(now, quota);
         self.take_token(now)
     }
 
-    fn take_token(&mut self, now: Timestamp) -> Taken {
+    fn take_token(&mut self, now: Timestamp) -> TokenDecision {
         if self.lent_tokens > 0 && now < self.lent_until {
             self.lent_tokens -= 1;
-            return Taken::Token;
+            return TokenDecision::Token;
         }
         if self.free_tokens >= 1.0 {
             self.free_tokens -= 1.0;
-            return Taken::Token;
+            return TokenDecision::Token;
         }
         match self.no_ask_until {
             Some((cause, until)) if now < until => self.refuse(cause, until.saturating_since(now)),
-            _ => Taken::AskLender,
+            _ => TokenDecision::AskLender,
         }
     }
 
-    fn refuse(&mut self, cause: NoAskReason, left: Duration) -> Taken {
+    fn refuse(&mut self, cause: NoAskReason, left: Duration) -> TokenDecision {
         if cause == NoAskReason::Unanswered {
-            return Taken::Unanswered(left);
+            return TokenDecision::Unanswered(left);
         }
         self.refused_since_answer = self.refused_since_answer.saturating_add(1);
         // Spreads the retries of refused callers over the time in which tokens for them are
@@ -115,7 +115,7 @@
         let position = f64::from(self.refused_since_answer);
         let spread = position / self.expected_rate.max(1.0 / MAX_RETRY_AFTER.as_secs_f64());
         let spread = Duration::from_secs_f64(spread.min(MAX_RETRY_AFTER.as_secs_f64()));
-        Taken::OverLimit((left + spread).min(MAX_RETRY_AFTER))
+        TokenDecision::OverLimit((left + spread).min(MAX_RETRY_AFTER))
     }
 
     /// Records that a request begins to wait for the lender's answer.
@@ -128,25 +128,25 @@
         self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// Returns the question to send to the lender now.
-    pub fn question(&mut self, now: Timestamp, quota: &FleetQuota) -> Question {
+    /// Returns the token request to send to the lender now.
+    pub fn token_request(&mut self, now: Timestamp, quota: &FleetQuota) -> TokenRequest {
         self.update_counters(now, quota);
         let expected =
             self.demand / DEMAND_TIME_CONSTANT.as_secs_f64() * PREFETCH_TIME.as_secs_f64();
-        Question {
+        TokenRequest {
             wanted: self.waiting.max(1),
             arrived: std::mem::take(&mut self.arrived_since_ask),
             expected: expected as u32,
         }
     }
 
-    /// Records the lender's answer to the question that was sent at `asked`.
+    /// Records the lender's answer to the token request that was sent at `asked`.
     pub fn answered(&mut self, now: Timestamp, asked: Timestamp, loan: Loan) {
         if now >= self.lent_until {
             self.lent_tokens = 0;
         }
         self.lent_tokens = self.lent_tokens.saturating_add(loan.tokens);
-        // The loan expires relative to the time of the question, as the answer may have been
+        // The loan expires relative to the time of the token request, as the answer may have been
         // delayed.
         self.lent_until = (asked + LOAN_EXPIRY).max(self.lent_until.min(now + LOAN_EXPIRY));
         self.expected_rate = loan.rate;
@@ -156,7 +156,7 @@
     }
 
     /// Records that no lender answered.
-    pub fn unanswered(&mut self, now: Timestamp) {
+    pub fn record_no_answer(&mut self, now: Timestamp) {
         self.no_ask_until = Some((NoAskReason::Unanswered, now + ASK_AGAIN_AFTER));
     }
 
--- a/crates/coordination/src/mesh/tenants/fleet_quota.rs
+++ b/crates/coordination/src/mesh/tenants/fleet_quota.rs
@@ -112,7 +112,7 @@
     }
 
     /// Returns the quota with the share of rate and burst that a node of this standing may lend.
-    pub fn lent_by(&self, standing: Standing) -> FleetQuota {
+    pub fn lendable_by(&self, standing: Standing) -> FleetQuota {
         let share = match standing {
             Standing::Alone => 1.0,
             Standing::Unsure => UNSURE_SHARE,
--- a/crates/coordination/src/mesh/tenants/missing_nodes.rs
+++ b/crates/coordination/src/mesh/tenants/unresponsive_nodes.rs
@@ -47,25 +47,25 @@
 
 /// Nodes that did not answer when they were last asked.
 #[derive(Clone, Debug, Default)]
-pub struct MissingNodes {
-    missing: HashMap<SocketAddrV4, FailedNode>,
+pub struct UnresponsiveNodes {
+    unresponsive: HashMap<SocketAddrV4, FailedNode>,
 }
 
-impl MissingNodes {
+impl UnresponsiveNodes {
     /// Returns whether `node` may be asked now: it did not recently fail to answer.
     pub fn may_ask(&self, now: Timestamp, node: SocketAddrV4) -> bool {
-        let entry = self.missing.get(&node);
+        let entry = self.unresponsive.get(&node);
         entry.is_none_or(|entry| now.saturating_since(entry.last_failed_at) >= ASK_AGAIN_AFTER)
     }
 
     /// Records that `node` answered.
     pub fn answered(&mut self, node: SocketAddrV4) {
-        self.missing.remove(&node);
+        self.unresponsive.remove(&node);
     }
 
     /// Records that `node` did not answer.
     pub fn failed(&mut self, now: Timestamp, node: SocketAddrV4, failure: Failure) {
-        let entry = self.missing.entry(node).or_insert(FailedNode {
+        let entry = self.unresponsive.entry(node).or_insert(FailedNode {
             first_failed_at: now,
             last_failed_at: now,
             is_refused: false,
@@ -92,13 +92,13 @@
     }
 
     fn is_gone(&self, now: Timestamp, node: SocketAddrV4) -> bool {
-        self.missing.get(&node).is_some_and(|entry| {
+        self.unresponsive.get(&node).is_some_and(|entry| {
             entry.is_refused || now.saturating_since(entry.first_failed_at) >= ASSUMED_GONE_AFTER
         })
     }
 
     /// Forgets all nodes but `nodes`.
     pub fn retain(&mut self, nodes: &[SocketAddrV4]) {
-        self.missing.retain(|node, _| nodes.contains(node));
+        self.unresponsive.retain(|node, _| nodes.contains(node));
     }
 }
--- a/crates/coordination/tests/mesh_authentication.rs
+++ b/crates/coordination/tests/mesh_authentication.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use lifthollow_coordination::mesh::tenants::authentication::{Denial, KeyTable, OldestView};
+use lifthollow_coordination::mesh::tenants::authentication::{Denial, KeyTable, MaxViewAge};
 use lifthollow_coordination::mesh::view_freshness::{NamedAge, ViewFreshness};
 use lifthollow_state::Timestamp;
 use lifthollow_state::mesh::{Configuration, KeyDigest, Route, Tenant};
@@ -46,7 +46,7 @@
     key: Option<KeyDigest>,
     age: Option<Duration>,
 ) -> Result<Option<String>, Denial> {
-    let max_view_age = Some(OldestView::for_revocation(REVOCATION));
+    let max_view_age = Some(MaxViewAge::for_revocation(REVOCATION));
     let tenant = table.authenticate(route, key, age, max_view_age)?;
     Ok(tenant.map(|tenant| tenant.name.clone()))
 }
--- a/crates/coordination/tests/quota_fleet/ways.rs
+++ b/crates/coordination/tests/quota_fleet/ways.rs
@@ -4,11 +4,11 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-use lifthollow_coordination::mesh::tenants::borrower::{Borrower, Taken};
+use lifthollow_coordination::mesh::tenants::borrower::{Borrower, TokenDecision};
 use lifthollow_coordination::mesh::tenants::fleet_quota::{FleetQuota, QuotaTolerance};
-use lifthollow_coordination::mesh::tenants::lender::{Lender, Loan, Question};
+use lifthollow_coordination::mesh::tenants::lender::{Lender, Loan, TokenRequest};
 use lifthollow_coordination::mesh::tenants::lenders::LenderCandidates;
-use lifthollow_coordination::mesh::tenants::missing_nodes::{Failure, MissingNodes};
+use lifthollow_coordination::mesh::tenants::unresponsive_nodes::{Failure, UnresponsiveNodes};
 use lifthollow_state::mesh::{InstanceId, RateLimit, ServerInstance, ServerState};
 
 use super::{DELAY, LimitStrategy, Scenario, at};
@@ -174,9 +174,9 @@
     borrowers: Vec<Borrower>,
     waiting: Vec<usize>,
     lenders: BTreeMap<usize, Lender>,
-    missing: BTreeMap<usize, MissingNodes>,
-    /// Answers on their way: time of arrival, asking node, time of the question, and the loan, if
-    /// any lender answered.
+    unresponsive: BTreeMap<usize, UnresponsiveNodes>,
+    /// Answers on their way: time of arrival, asking node, time of the token request, and the loan,
+    /// if any lender answered.
     answers: Vec<(f64, usize, f64, Option<Loan>)>,
     messages_sent: usize,
 }
@@ -211,7 +211,7 @@
             borrowers: vec![Borrower::new(at(0.0), &quota); nodes],
             waiting: vec![0; nodes],
             lenders: BTreeMap::new(),
-            missing: BTreeMap::new(),
+            unresponsive: BTreeMap::new(),
             answers: Vec::new(),
             messages_sent: 0,
         }
@@ -232,7 +232,7 @@
     }
 
     fn ask(&mut self, scenario: &Scenario, time: f64, node: usize) {
-        let question = self.borrowers[node].question(at(time), &self.quota);
+        let token_request = self.borrowers[node].token_request(at(time), &self.quota);
         let mut now = time;
         let mut loan = None;
         for rank in self.ranked.clone() {
@@ -251,35 +251,41 @@
                 self.messages_sent += 2;
                 now += DELAY.as_secs_f64() * 2.0;
             }
-            loan = Some(self.lend(scenario, now, rank, question));
+            loan = Some(self.lend(scenario, now, rank, token_request));
             break;
         }
         self.answers.push((now, node, time, loan));
     }
 
     fn may_ask(&mut self, time: f64, node: usize, other: usize) -> bool {
-        let missing = self.missing.entry(node).or_default();
-        missing.may_ask(at(time), address(other))
+        let unresponsive = self.unresponsive.entry(node).or_default();
+        unresponsive.may_ask(at(time), address(other))
     }
 
     fn record_failure(&mut self, time: f64, node: usize, other: usize, failure: Failure) {
-        let missing = self.missing.entry(node).or_default();
-        missing.failed(at(time), address(other), failure);
+        let unresponsive = self.unresponsive.entry(node).or_default();
+        unresponsive.failed(at(time), address(other), failure);
     }
 
-    fn lend(&mut self, scenario: &Scenario, time: f64, node: usize, question: Question) -> Loan {
+    fn lend(
+        &mut self,
+        scenario: &Scenario,
+        time: f64,
+        node: usize,
+        token_request: TokenRequest,
+    ) -> Loan {
         let before = self.ranked.iter().take_while(|other| **other != node);
         let before: Vec<usize> = before.copied().collect();
         for other in &before {
             match self.connection_failure(scenario, time, node, *other) {
                 None => {
                     self.messages_sent += 2;
-                    return self.lend_own(scenario, time, *other, question, &[]);
+                    return self.lend_own(scenario, time, *other, token_request, &[]);
                 }
                 Some(failure) => self.record_failure(time, node, *other, failure),
             }
         }
-        self.lend_own(scenario, time, node, question, &before)
+        self.lend_own(scenario, time, node, token_request, &before)
     }
 
     fn lend_own(
@@ -287,14 +293,14 @@
         scenario: &Scenario,
         time: f64,
         node: usize,
-        question: Question,
+        token_request: TokenRequest,
         before: &[usize],
     ) -> Loan {
         let before: Vec<_> = before.iter().map(|other| address(*other)).collect();
         let view_age = Some(scenario.cut_off_for(node, time));
-        let missing = self.missing.entry(node).or_default();
-        let standing = missing.standing(at(time), &before, view_age);
-        let quota = self.quota.lent_by(standing);
+        let unresponsive = self.unresponsive.entry(node).or_default();
+        let standing = unresponsive.standing(at(time), &before, view_age);
+        let quota = self.quota.lendable_by(standing);
         let idle = match before.is_empty() {
             true => Duration::from_secs_f64(time),
             false => Duration::ZERO,
@@ -302,8 +308,8 @@
         let lender = self
             .lenders
             .entry(node)
-            .or_insert_with(|| Lender::rested(at(time), &quota, idle));
-        lender.lend(at(time), &quota, question, 0.5)
+            .or_insert_with(|| Lender::after_idle(at(time), &quota, idle));
+        lender.lend(at(time), &quota, token_request, 0.5)
     }
 
     fn start_or_wait(
@@ -311,12 +317,12 @@
         scenario: &Scenario,
         time: f64,
         node: usize,
-        taken: Taken,
+        decision: TokenDecision,
     ) -> Option<bool> {
-        match taken {
-            Taken::Token => Some(true),
-            Taken::OverLimit(_) | Taken::Unanswered(_) => Some(false),
-            Taken::AskLender => {
+        match decision {
+            TokenDecision::Token => Some(true),
+            TokenDecision::OverLimit(_) | TokenDecision::Unanswered(_) => Some(false),
+            TokenDecision::AskLender => {
                 self.borrowers[node].begin_waiting();
                 self.waiting[node] += 1;
                 if self.answers.iter().all(|(_, other, _, _)| *other != node) {
@@ -334,8 +340,8 @@
     }
 
     fn arrive(&mut self, scenario: &Scenario, time: f64, node: usize) -> Option<bool> {
-        let taken = self.borrowers[node].arrive(at(time), &self.quota);
-        self.start_or_wait(scenario, time, node, taken)
+        let decision = self.borrowers[node].arrive(at(time), &self.quota);
+        self.start_or_wait(scenario, time, node, decision)
     }
 
     fn advance(&mut self, scenario: &Scenario, time: f64) -> usize {
@@ -346,12 +352,13 @@
         for (_, node, asked, loan) in due {
             match loan {
                 Some(loan) => self.borrowers[node].answered(at(time), at(asked), loan),
-                None => self.borrowers[node].unanswered(at(time)),
+                None => self.borrowers[node].record_no_answer(at(time)),
             }
             for _ in 0..std::mem::take(&mut self.waiting[node]) {
                 self.borrowers[node].end_waiting();
-                let taken = self.borrowers[node].take_after_answer(at(time), &self.quota);
-                ran += usize::from(self.start_or_wait(scenario, time, node, taken) == Some(true));
+                let decision = self.borrowers[node].take_token_after_answer(at(time), &self.quota);
+                ran +=
+                    usize::from(self.start_or_wait(scenario, time, node, decision) == Some(true));
             }
         }
         ran
@@ -364,8 +371,8 @@
     fn restart(&mut self, _scenario: &Scenario, time: f64, node: usize) {
         self.borrowers[node] = Borrower::new(at(time), &self.quota);
         self.waiting[node] = 0;
-        self.missing.remove(&node);
-        let fresh = Lender::rested(at(time), &self.quota, Duration::ZERO);
+        self.unresponsive.remove(&node);
+        let fresh = Lender::after_idle(at(time), &self.quota, Duration::ZERO);
         self.lenders.insert(node, fresh);
     }
 }
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lifthollow_coordination::mesh::retry_budget::FleetRetryBound;
-use lifthollow_coordination::mesh::tenants::authentication::OldestView;
+use lifthollow_coordination::mesh::tenants::authentication::MaxViewAge;
 use lifthollow_coordination::mesh::tenants::fleet_quota::QuotaTolerance;
 
 /// Settings of one process.
@@ -31,7 +31,7 @@
     /// Bound on the repeated attempts of all nodes together.
     pub retry_bound: FleetRetryBound,
     /// How old the view may be for tenants' keys to be accepted; if none, at any age.
-    pub oldest_view_for_keys: Option<OldestView>,
+    pub max_view_age_for_keys: Option<MaxViewAge>,
     /// How far all nodes together may exceed a tenant's rate limit.
     pub quota_tolerance: QuotaTolerance,
     /// How long a planned stop may take.
--- a/crates/proxy/src/tenants/identity.rs
+++ b/crates/proxy/src/tenants/identity.rs
@@ -30,11 +30,11 @@
     }
     let key = key_digest(node, headers);
     headers.remove(&node.names.authorization);
-    let oldest = node.settings.oldest_view_for_keys;
+    let max_view_age = node.settings.max_view_age_for_keys;
     let identified = state
         .tenants
         .keys
-        .authenticate(route, key, view_age, oldest);
+        .authenticate(route, key, view_age, max_view_age);
     match identified {
         // Nested calls of runs on the server beside this node carry no key.
         Err(Denial::NoKey) if is_call_of_run(node, &state.admission, headers) => Ok(None),
--- a/crates/proxy/src/tenants/lending.rs
+++ b/crates/proxy/src/tenants/lending.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
-use lifthollow_coordination::mesh::tenants::lender::{Lender, Question};
+use lifthollow_coordination::mesh::tenants::lender::{Lender, TokenRequest};
 use lifthollow_protocol::quota::{QuotaAnswer, QuotaQuestion};
 use rand::RngExt;
 use slog::{info, warn};
@@ -28,7 +28,7 @@
     node: &Rc<Node>,
     request: Request<Option<Incoming>>,
 ) -> Response<ProxyBody> {
-    let Some(question) = read_query(request).await else {
+    let Some(query) = read_query(request).await else {
         warn!(node.log, "malformed token query from another node");
         let mut response = Response::new(ProxyBody::empty());
         *response.status_mut() = StatusCode::BAD_REQUEST;
@@ -40,15 +40,15 @@
         arrived,
         expected,
         is_passed_on,
-    } = question;
-    let question = Question {
+    } = query;
+    let token_request = TokenRequest {
         wanted,
         arrived,
         expected,
     };
     let answer = match is_passed_on {
-        true => lend_forwarded(node, &tenant, question),
-        false => lend_or_forward(node, &tenant, question).await,
+        true => lend_forwarded(node, &tenant, token_request),
+        false => lend_or_forward(node, &tenant, token_request).await,
     };
     let bytes = minicbor::to_vec(&answer).expect("writing to memory does not fail");
     Response::new(ProxyBody::Whole(bytes.into()))
@@ -68,21 +68,21 @@
 pub(super) async fn lend_or_forward(
     node: &Rc<Node>,
     tenant: &str,
-    question: Question,
+    token_request: TokenRequest,
 ) -> QuotaAnswer {
     let preceding = preceding_lenders(node, tenant);
     for server in &preceding {
-        if let Some(answer) = query_preceding_lender(node, *server, tenant, question).await {
+        if let Some(answer) = query_preceding_lender(node, *server, tenant, token_request).await {
             return answer;
         }
     }
-    lend_from_own_quota(node, tenant, question, &preceding)
+    lend_from_own_quota(node, tenant, token_request, &preceding)
 }
 
 /// Lends tokens of `tenant` for a query that another node forwarded to this one.
-fn lend_forwarded(node: &Rc<Node>, tenant: &str, question: Question) -> QuotaAnswer {
+fn lend_forwarded(node: &Rc<Node>, tenant: &str, token_request: TokenRequest) -> QuotaAnswer {
     let preceding = preceding_lenders(node, tenant);
-    lend_from_own_quota(node, tenant, question, &preceding)
+    lend_from_own_quota(node, tenant, token_request, &preceding)
 }
 
 /// Returns the servers whose nodes precede this one as lenders of `tenant`'s tokens. Nodes that
@@ -100,26 +100,26 @@
     node: &Rc<Node>,
     server: SocketAddrV4,
     tenant: &str,
-    question: Question,
+    token_request: TokenRequest,
 ) -> Option<QuotaAnswer> {
     let now = node.now();
     if !node
         .state
         .borrow()
         .tenants
-        .missing_nodes
+        .unresponsive_nodes
         .may_ask(now, server)
     {
         return None;
     }
-    query_lender(node, server, tenant, question, true, LENDER_TIMEOUT).await
+    query_lender(node, server, tenant, token_request, true, LENDER_TIMEOUT).await
 }
 
 /// Lends tokens from this node's own share of the quota, given the lenders that precede it.
 fn lend_from_own_quota(
     node: &Rc<Node>,
     tenant: &str,
-    question: Question,
+    token_request: TokenRequest,
     preceding: &[SocketAddrV4],
 ) -> QuotaAnswer {
     let view_age = node.view_age();
@@ -132,8 +132,10 @@
     let Some(quota) = known.and_then(|known| tenants.quota(&known, tolerance)) else {
         return QuotaAnswer::NotLender;
     };
-    let standing = tenants.missing_nodes.standing(now, preceding, view_age);
-    let quota = quota.lent_by(standing);
+    let standing = tenants
+        .unresponsive_nodes
+        .standing(now, preceding, view_age);
+    let quota = quota.lendable_by(standing);
     let idle = match preceding {
         [] => now.saturating_since(tenants.candidates_unchanged_since),
         // How much the preceding lenders have lent is not known.
@@ -142,13 +144,13 @@
     let lender = tenants
         .active_lenders
         .entry(tenant.to_owned())
-        .or_insert_with(|| Lender::rested(now, &quota, idle));
-    let was_short = lender.is_short();
-    let loan = lender.lend(now, &quota, question, state.random.random());
-    let is_short = lender.is_short();
-    if is_short != was_short && node.may_log() {
+        .or_insert_with(|| Lender::after_idle(now, &quota, idle));
+    let was_exhausted = lender.is_exhausted();
+    let loan = lender.lend(now, &quota, token_request, state.random.random());
+    let is_exhausted = lender.is_exhausted();
+    if is_exhausted != was_exhausted && node.may_log() {
         let (_, demand) = lender.load();
-        let message = match is_short {
+        let message = match is_exhausted {
             true => "tenant at its limit",
             false => "tenant below its limit",
         };
--- a/crates/proxy/src/tenants/mod.rs
+++ b/crates/proxy/src/tenants/mod.rs
@@ -17,7 +17,7 @@
 use lifthollow_coordination::mesh::tenants::fleet_quota::{FleetQuota, QuotaTolerance};
 use lifthollow_coordination::mesh::tenants::lender::Lender;
 use lifthollow_coordination::mesh::tenants::lenders::LenderCandidates;
-use lifthollow_coordination::mesh::tenants::missing_nodes::MissingNodes;
+use lifthollow_coordination::mesh::tenants::unresponsive_nodes::UnresponsiveNodes;
 use lifthollow_state::Timestamp;
 use lifthollow_state::mesh::{Configuration, ServerInstance, Tenant};
 use tokio::sync::Notify;
@@ -43,7 +43,7 @@
     /// Tokens that this node lends, by tenant name.
     active_lenders: HashMap<String, Lender>,
     /// Lending nodes that failed to answer.
-    missing_nodes: MissingNodes,
+    unresponsive_nodes: UnresponsiveNodes,
     /// Token queries in progress, by tenant name; each is notified when it has been answered.
     pending_queries: HashMap<String, Rc<Notify>>,
 }
@@ -68,7 +68,7 @@
         if candidates == self.candidates {
             return;
         }
-        self.missing_nodes.retain(candidates.addresses());
+        self.unresponsive_nodes.retain(candidates.addresses());
         self.candidates = candidates;
         self.candidates_unchanged_since = now;
         self.lender_order.clear();
--- a/crates/proxy/src/tenants/tokens.rs
+++ b/crates/proxy/src/tenants/tokens.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use hyper::HeaderMap;
-use lifthollow_coordination::mesh::tenants::borrower::{Borrower, Taken};
+use lifthollow_coordination::mesh::tenants::borrower::{Borrower, TokenDecision};
 use lifthollow_coordination::mesh::tenants::fleet_quota::FleetQuota;
-use lifthollow_coordination::mesh::tenants::lender::{Loan, Question};
-use lifthollow_coordination::mesh::tenants::missing_nodes::Failure;
+use lifthollow_coordination::mesh::tenants::lender::{Loan, TokenRequest};
+use lifthollow_coordination::mesh::tenants::unresponsive_nodes::Failure;
 use lifthollow_protocol::quota::{QuotaAnswer, QuotaQuestion};
 use lifthollow_state::Timestamp;
 use lifthollow_state::mesh::Tenant;
@@ -48,20 +48,20 @@
 ///
 /// No token is available.
 pub(crate) async fn acquire(node: &Rc<Node>, tenant: &Arc<Tenant>) -> Result<(), NoToken> {
-    let mut taken = with_borrower(node, tenant, Borrower::arrive);
+    let mut decision = with_borrower(node, tenant, Borrower::arrive);
     for _ in 0..MAX_QUERIES {
-        if taken != Some(Taken::AskLender) {
+        if decision != Some(TokenDecision::AskLender) {
             break;
         }
         wait_for_answer(node, tenant).await;
-        taken = with_borrower(node, tenant, Borrower::take_after_answer);
+        decision = with_borrower(node, tenant, Borrower::take_token_after_answer);
     }
-    match taken {
+    match decision {
         // A tenant without a limit needs no token.
-        None | Some(Taken::Token) => Ok(()),
-        Some(Taken::OverLimit(time)) => Err(NoToken::OverLimit(time)),
-        Some(Taken::Unanswered(time)) => Err(NoToken::Unanswered(time)),
-        Some(Taken::AskLender) => Err(NoToken::Unanswered(LENDER_TIMEOUT)),
+        None | Some(TokenDecision::Token) => Ok(()),
+        Some(TokenDecision::OverLimit(time)) => Err(NoToken::OverLimit(time)),
+        Some(TokenDecision::Unanswered(time)) => Err(NoToken::Unanswered(time)),
+        Some(TokenDecision::AskLender) => Err(NoToken::Unanswered(LENDER_TIMEOUT)),
     }
 }
 
@@ -136,12 +136,12 @@
 /// borrower.
 async fn query_lenders(node: Rc<Node>, tenant: Arc<Tenant>) {
     let sent_at = node.now();
-    let question = with_borrower(&node, &tenant, Borrower::question).unwrap_or_default();
+    let token_request = with_borrower(&node, &tenant, Borrower::token_request).unwrap_or_default();
     let lenders = node.state.borrow_mut().tenants.lenders(&tenant.name);
-    let loan = query_in_order(&node, &tenant, &lenders, question).await;
+    let loan = query_in_order(&node, &tenant, &lenders, token_request).await;
     with_borrower(&node, &tenant, |borrower, now, _| match loan {
         Some(loan) => borrower.answered(now, sent_at, loan),
-        None => borrower.unanswered(now),
+        None => borrower.record_no_answer(now),
     });
     if loan.is_none() && node.may_log() {
         warn!(node.log, "no lender answers"; "tenant" => &tenant.name,
@@ -162,12 +162,12 @@
     node: &Rc<Node>,
     tenant: &Tenant,
     lenders: &[SocketAddrV4],
-    question: Question,
+    token_request: TokenRequest,
 ) -> Option<Loan> {
     let limits = std::iter::once(LENDER_TIMEOUT).chain(std::iter::repeat(STAND_IN_TIMEOUT));
     for (server, limit) in lenders.iter().zip(limits) {
         if *server == node.settings.server_address {
-            let answer = lending::lend_or_forward(node, &tenant.name, question).await;
+            let answer = lending::lend_or_forward(node, &tenant.name, token_request).await;
             return parse_loan(&answer);
         }
         let now = node.now();
@@ -175,13 +175,13 @@
             .state
             .borrow()
             .tenants
-            .missing_nodes
+            .unresponsive_nodes
             .may_ask(now, *server)
         {
             continue;
         }
         if let Some(answer) =
-            query_lender(node, *server, &tenant.name, question, false, limit).await
+            query_lender(node, *server, &tenant.name, token_request, false, limit).await
         {
             return parse_loan(&answer);
         }
@@ -194,15 +194,15 @@
     node: &Rc<Node>,
     server: SocketAddrV4,
     tenant: &str,
-    question: Question,
+    token_request: TokenRequest,
     is_passed_on: bool,
     limit: Duration,
 ) -> Option<QuotaAnswer> {
     let message = QuotaQuestion {
         tenant: tenant.to_owned(),
-        wanted: question.wanted,
-        arrived: question.arrived,
-        expected: question.expected,
+        wanted: token_request.wanted,
+        arrived: token_request.arrived,
+        expected: token_request.expected,
         is_passed_on,
     };
     let bytes = minicbor::to_vec(&message).expect("writing to memory does not fail");
@@ -212,14 +212,14 @@
     let answered = peer_client::fetch(node, address, path, HeaderMap::new(), body, limit).await;
     let now = node.now();
     let mut state = node.state.borrow_mut();
-    let missing_nodes = &mut state.tenants.missing_nodes;
+    let unresponsive_nodes = &mut state.tenants.unresponsive_nodes;
     match answered {
         Ok((answer, _)) => {
-            missing_nodes.answered(server);
+            unresponsive_nodes.answered(server);
             Some(answer)
         }
         Err(error) => {
-            missing_nodes.failed(now, server, classify_failure(&error));
+            unresponsive_nodes.failed(now, server, classify_failure(&error));
             None
         }
     }
