--- a/crates/coordination/src/pressure/call_graph.rs
+++ b/crates/coordination/src/backpressure/call_graph.rs
@@ -49,7 +49,7 @@
 
 impl CallGraph {
     /// Records that an attempt has arrived that may run.
-    pub fn arrived(&mut self, id: InboundId, source: CallSource, class: PriorityClass) {
+    pub fn add_run(&mut self, id: InboundId, source: CallSource, class: PriorityClass) {
         let run = ActiveRun {
             source,
             class,
@@ -59,7 +59,7 @@
     }
 
     /// Records that a run calls another service.
-    pub fn called(&mut self, parent: InboundId, service: &ServiceName) {
+    pub fn record_call(&mut self, parent: InboundId, service: &ServiceName) {
         if let Some(run) = self.active.get_mut(&parent) {
             run.called.insert(service.clone());
         }
@@ -70,7 +70,7 @@
     /// services that a failed run did call count as needed as well, because a node
     /// that starts while a downstream service is overloaded may see hardly any
     /// other runs.
-    pub fn completed(&mut self, id: InboundId, success: bool) {
+    pub fn record_completion(&mut self, id: InboundId, success: bool) {
         let Some(run) = self.active.remove(&id) else {
             return;
         };
@@ -83,7 +83,7 @@
     }
 
     /// Removes an attempt that ended without a completed run.
-    pub fn dropped(&mut self, id: InboundId) {
+    pub fn remove_run(&mut self, id: InboundId) {
         self.active.remove(&id);
     }
 
@@ -96,7 +96,7 @@
 
     /// The services that nearly every run for a call of `class` from `source`
     /// needs.
-    pub fn needed(
+    pub fn needed_services(
         &self,
         source: &CallSource,
         class: PriorityClass,
--- a/crates/coordination/src/pressure/downstream.rs
+++ b/crates/coordination/src/backpressure/downstream.rs
@@ -21,7 +21,7 @@
     let mut combined = AdmissionLevel::OPEN;
     let known = |class: &PriorityClass| graph.is_known(source, *class);
     for class in PriorityClass::ALL.into_iter().filter(known) {
-        let needed = graph.needed(source, class);
+        let needed = graph.needed_services(source, class);
         let level = needed.map(&level_of).max().unwrap_or(AdmissionLevel::OPEN);
         if level <= first_level_of(class) {
             return combined;
--- a/crates/coordination/src/inbound/admission_threshold.rs
+++ b/crates/coordination/src/inbound/admission_threshold.rs
@@ -85,7 +85,7 @@
     started: Timestamp,
     observed: Timestamp,
     arrivals: u32,
-    turned_away: u32,
+    rejections: u32,
     finished: u32,
     busy_seconds: f64,
     queue_at_start: usize,
@@ -120,14 +120,14 @@
     }
 
     /// Resets all counts, but keeps the level until it is next revised.
-    pub fn restart(&mut self, now: Timestamp) {
+    pub fn reset_counts(&mut self, now: Timestamp) {
         self.demand.fill(0.0);
         self.served = 0.0;
         self.window = Window::starting_at(now, 0);
     }
 
     /// Records that an attempt of `level` arrived.
-    pub fn arrived(&mut self, level: AdmissionLevel) {
+    pub fn record_arrival(&mut self, level: AdmissionLevel) {
         self.window.arrivals += 1;
         if let Some(count) = self.demand.get_mut(usize::from(level.0)) {
             *count += 1.0;
@@ -136,12 +136,12 @@
 
     /// Records that an attempt was rejected for lack of capacity or evicted for
     /// another one.
-    pub fn turned_away(&mut self) {
-        self.window.turned_away += 1;
+    pub fn record_rejection(&mut self) {
+        self.window.rejections += 1;
     }
 
     /// Records that a run ended.
-    pub fn finished(&mut self) {
+    pub fn record_run_end(&mut self) {
         self.window.finished += 1;
         self.served += 1.0;
     }
@@ -233,7 +233,7 @@
     /// Demand in excess of capacity, in calls; negative if there is spare capacity.
     fn surplus(&self) -> f64 {
         let growth = self.last.queued as f64 - self.queue_at_start as f64;
-        growth + f64::from(self.turned_away) - self.spare_capacity()
+        growth + f64::from(self.rejections) - self.spare_capacity()
     }
 
     /// Number of waiting calls in excess of the target length; negative if fewer
--- a/crates/coordination/src/inbound/service_admission.rs
+++ b/crates/coordination/src/inbound/service_admission.rs
@@ -134,16 +134,17 @@
         if !self.downstream_level.admits(attempt.priority) {
             return Err(RefusalReason::DownstreamOverloaded);
         }
-        self.threshold.arrived(AdmissionLevel::of(attempt.priority));
+        self.threshold
+            .record_arrival(AdmissionLevel::of(attempt.priority));
         if !self.class_floor.admits(now, attempt.priority.class) {
-            self.threshold.turned_away();
+            self.threshold.record_rejection();
             return Err(RefusalReason::Overloaded);
         }
         if self.has_free_slot(row) && self.queue.is_empty() {
             return Ok(());
         }
         if now + self.expected_time(now, row, attempt.priority) > attempt.deadline {
-            self.threshold.turned_away();
+            self.threshold.record_rejection();
             return Err(RefusalReason::Overloaded);
         }
         self.ensure_queue_space(now, row, attempt, verdicts)
@@ -161,7 +162,7 @@
         if self.queue.len() < row.max_queue as usize {
             return Ok(());
         }
-        self.threshold.turned_away();
+        self.threshold.record_rejection();
         let evicted = self
             .queue
             .evict_below(attempt.priority)
@@ -224,7 +225,7 @@
         };
         self.observe(now, row);
         if let Some(run) = self.running.remove(&id) {
-            self.threshold.finished();
+            self.threshold.record_run_end();
             self.record_time_in_slot(now, run);
         }
         self.start_queued(now, row, verdicts);
@@ -259,7 +260,7 @@
     pub fn handle_resume(&mut self, now: Timestamp, verdicts: &mut Vec<Verdict>) {
         self.queue_held_until = now + QUEUE_HOLD_AFTER_PAUSE;
         self.next_wake = Some(self.queue_held_until);
-        self.threshold.restart(now);
+        self.threshold.reset_counts(now);
         while let Some(attempt) = self.queue.pop_deadline_before(now) {
             verdicts.push(self.refuse(now, attempt, RefusalReason::Paused));
         }
@@ -318,7 +319,7 @@
     fn refuse_unfinishable(&mut self, now: Timestamp, verdicts: &mut Vec<Verdict>) {
         let earliest_end = now + self.time_to_answer.decayed_mean(now);
         while let Some(attempt) = self.queue.pop_deadline_before(earliest_end) {
-            self.threshold.turned_away();
+            self.threshold.record_rejection();
             verdicts.push(self.refuse(now, attempt, RefusalReason::DeadlineTooShort));
         }
     }
--- a/crates/coordination/src/latency.rs
+++ b/crates/coordination/src/latency.rs
@@ -49,7 +49,7 @@
     }
 
     /// Whether there were any samples.
-    pub fn is_known(&self) -> bool {
+    pub fn has_samples(&self) -> bool {
         self.samples > 0
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// A duration that almost every sample stays under.
-    pub fn high(&self) -> Duration {
+    pub fn upper_bound(&self) -> Duration {
         Duration::from_secs_f64(self.mean + HIGH_DEVIATIONS * self.deviation)
     }
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -11,7 +11,7 @@
 //! 3. [`inbound`]: attempts from other nodes to this node's local back ends.
 //!
 //! Two modules concern both outbound calls and inbound attempts: [`retry`] bounds the
-//! retries of a whole request, and [`pressure`] propagates overload deep in the call
+//! retries of a whole request, and [`backpressure`] propagates overload deep in the call
 //! graph towards the entry.
 //!
 //! [`claims`] lets a call with an idempotency key run at most once.
@@ -20,6 +20,7 @@
 //!
 //! [`baseline`] contains the ordinary policies that lifthollow is compared with.
 
+pub mod backpressure;
 pub mod baseline;
 pub mod claims;
 pub mod class_floor;
@@ -30,7 +31,6 @@
 pub mod node;
 pub mod outbound;
 pub mod policy;
-pub mod pressure;
 pub mod refusal;
 pub mod request_tree;
 pub mod retry;
--- a/crates/coordination/src/mesh/admission_queue.rs
+++ b/crates/coordination/src/mesh/admission_queue.rs
@@ -186,7 +186,7 @@
     /// Whether the server is unresponsive: it has had running requests for a while and answered
     /// none.
     pub fn is_unresponsive(&self, now: Timestamp) -> bool {
-        let silence = (self.service_time.high() * 2).max(MIN_SILENCE);
+        let silence = (self.service_time.upper_bound() * 2).max(MIN_SILENCE);
         self.running > 0 && now.saturating_since(self.last_response) > silence
     }
 
@@ -276,7 +276,7 @@
 
     /// The mean duration of a run, or [`ASSUMED_SERVICE_TIME`] if none has been measured.
     fn expected_service_time(&self) -> Duration {
-        match self.service_time.is_known() {
+        match self.service_time.has_samples() {
             true => self.service_time.mean(),
             false => ASSUMED_SERVICE_TIME,
         }
--- a/crates/coordination/src/mesh/processor_admission.rs
+++ b/crates/coordination/src/mesh/processor_admission.rs
@@ -63,15 +63,15 @@
     }
 
     /// Records that an attempt of this level arrived.
-    pub fn arrived(&mut self, now: Timestamp, level: AdmissionLevel) {
+    pub fn record_arrival(&mut self, now: Timestamp, level: AdmissionLevel) {
         self.decay_arrivals(now);
         self.arrivals += 1.0;
-        self.threshold.arrived(level);
+        self.threshold.record_arrival(level);
     }
 
     /// Records that an attempt ended.
-    pub fn finished(&mut self) {
-        self.threshold.finished();
+    pub fn record_attempt_end(&mut self) {
+        self.threshold.record_run_end();
     }
 
     /// Records that the node's thread was woken `lateness` later than requested.
--- a/crates/coordination/src/mesh/server_admission.rs
+++ b/crates/coordination/src/mesh/server_admission.rs
@@ -12,6 +12,7 @@
 use lifthollow_state::mesh::{InstanceId, RequestRate, ServerNotice};
 use lifthollow_state::{Priority, ServiceName, Timestamp};
 
+use crate::backpressure::{CallGraph, CallSource, downstream_level};
 use crate::inbound::InboundId;
 use crate::inbound::admission_threshold::{self, AdmissionThreshold};
 use crate::mesh::admission_level::{level_at_server, queue_rank, tree_level_of_nested};
@@ -20,7 +21,6 @@
 use crate::mesh::processor_admission::ProcessorAdmission;
 use crate::mesh::request_tree::{Parent, RunningRequests};
 use crate::mesh::server_health::{RunEnd, ServerHealth};
-use crate::pressure::{CallGraph, CallSource, downstream_level};
 
 /// An attempt that has arrived at the node of the server that should run it.
 #[derive(Clone, Debug)]
@@ -226,13 +226,13 @@
             return refusal(NotRunReason::RateLimited, None);
         }
         self.observe(now);
-        self.threshold.arrived(level_at_server(attempt));
-        self.processor.arrived(now, level_at_server(attempt));
+        self.threshold.record_arrival(level_at_server(attempt));
+        self.processor.record_arrival(now, level_at_server(attempt));
         match self.queue.admit(now, queue_rank(attempt), attempt.max_wait) {
             Admission::Run => AdmissionDecision::Run,
             Admission::Wait(ticket) => AdmissionDecision::Wait(ticket),
             Admission::Refuse { retry_after } => {
-                self.threshold.turned_away();
+                self.threshold.record_rejection();
                 let reason = match is_at_rate_limit {
                     true => NotRunReason::RateLimited,
                     false => NotRunReason::QueueFull,
@@ -246,7 +246,7 @@
     /// Returns false if it was no longer waiting: then it counts as running.
     pub fn withdraw(&mut self, attempt: &ArrivingAttempt, ticket: Ticket, timed_out: bool) -> bool {
         if timed_out {
-            self.threshold.turned_away();
+            self.threshold.record_rejection();
         }
         self.queue.withdraw(queue_rank(attempt), ticket)
     }
@@ -256,7 +256,7 @@
         let run = InboundId(self.next_run);
         self.next_run += 1;
         let source = self.source(attempt.is_nested);
-        self.graph.arrived(run, source, attempt.priority.class);
+        self.graph.add_run(run, source, attempt.priority.class);
         self.health
             .started(now, run, &attempt.zone, attempt.is_nested);
         let inherited = Parent {
@@ -272,7 +272,7 @@
     /// Records that the server answered a run; `success` unless the answer is a failure.
     pub fn answered(&mut self, now: Timestamp, run: InboundId, success: bool) {
         self.queue.note_answer(now);
-        self.graph.completed(run, success);
+        self.graph.record_completion(run, success);
     }
 
     /// Records that a run ended. `ran_for` is its duration if the server answered. Returns the
@@ -286,11 +286,11 @@
         ran_for: Option<Duration>,
     ) -> Vec<Ticket> {
         self.health.ended(now, run, end);
-        self.graph.dropped(run);
+        self.graph.remove_run(run);
         self.running.ended(&attempt.request_id, run);
         self.observe(now);
-        self.threshold.finished();
-        self.processor.finished();
+        self.threshold.record_run_end();
+        self.processor.record_attempt_end();
         self.queue.finish(now, ran_for)
     }
 
@@ -311,8 +311,8 @@
     }
 
     /// Records that a run calls another service.
-    pub fn called(&mut self, run: InboundId, service: &str) {
-        self.graph.called(run, &ServiceName::new(service));
+    pub fn record_call(&mut self, run: InboundId, service: &str) {
+        self.graph.record_call(run, &ServiceName::new(service));
         self.health.call_started(run);
     }
 
@@ -378,7 +378,7 @@
         if downstream_level(&self.graph, &source, &level_of).admits(priority) {
             return true;
         }
-        let mut needed = self.graph.needed(&source, priority.class);
+        let mut needed = self.graph.needed_services(&source, priority.class);
         let is_closed = needed.any(|service| level_of(service) >= AdmissionLevel::CLOSED);
         let is_trial = is_closed && now.saturating_since(self.last_trial) >= TRIAL_INTERVAL;
         if is_trial {
--- a/crates/coordination/src/mesh/server_health.rs
+++ b/crates/coordination/src/mesh/server_health.rs
@@ -95,8 +95,8 @@
     /// Time after which a run is overdue; `None` while no run times are known.
     pub fn overdue_after(&self, is_nested: bool) -> Option<Duration> {
         let run_time = &self.run_times[usize::from(is_nested)];
-        let limit = (run_time.high() * OVERDUE_FACTOR).max(MIN_OVERDUE);
-        run_time.is_known().then_some(limit)
+        let limit = (run_time.upper_bound() * OVERDUE_FACTOR).max(MIN_OVERDUE);
+        run_time.has_samples().then_some(limit)
     }
 
     /// Records that a run is overdue, which counts as a failure unless a call that it made is in
--- a/crates/coordination/src/mesh/server_selection/mod.rs
+++ b/crates/coordination/src/mesh/server_selection/mod.rs
@@ -334,8 +334,8 @@
             .records
             .get(id)
             .map(|record| record.latencies[usize::from(is_nested)]);
-        let known = latency.filter(LatencyEstimate::is_known);
-        let expected = known.map_or(ASSUMED_LATENCY, |latency| latency.high());
+        let known = latency.filter(LatencyEstimate::has_samples);
+        let expected = known.map_or(ASSUMED_LATENCY, |latency| latency.upper_bound());
         (expected * 2).max(MIN_SILENCE)
     }
 }
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -10,12 +10,12 @@
 };
 use lifthollow_state::{IdempotencyKey, RetryAllowance, ServiceName, Timestamp};
 
+use crate::backpressure::{CallSource, downstream_level};
 use crate::claims::gate::{ClaimGate, GateEffect};
 use crate::claims::{ClaimSettings, Envelope, KeyReport};
 use crate::fleet::{Fleet, FleetEffect, FleetEvent};
 use crate::inbound::{InboundEffect, InboundEvent, InboundId, InboundPolicy};
 use crate::outbound::{EdgeReport, OutboundEffect, OutboundEvent, OutboundPolicy};
-use crate::pressure::{CallSource, downstream_level};
 use crate::request_tree::RequestTree;
 use crate::view::View;
 
@@ -133,7 +133,7 @@
     /// admission level includes that of the downstream services which calls from
     /// the attempt's source need. This must be called before the attempt is
     /// settled.
-    pub fn load_for_caller(
+    pub fn load_with_downstream(
         &self,
         now: Timestamp,
         service: &ServiceName,
@@ -163,7 +163,7 @@
     /// that it has not spent, to be sent with its answer. This must be called once,
     /// when [`InboundEffect::Answer`] is carried out: retries that the attempt's
     /// calls return later count as spent.
-    pub fn settle_allowance(&mut self, id: InboundId) -> RetryAllowance {
+    pub fn close_allowance(&mut self, id: InboundId) -> RetryAllowance {
         self.request_tree.settle(id)
     }
 
--- a/crates/coordination/src/outbound/edge.rs
+++ b/crates/coordination/src/outbound/edge.rs
@@ -131,10 +131,10 @@
     /// How long an attempt may take before another server is considered, for a
     /// call with `remaining` time until its deadline.
     pub fn attempt_timeout(&self, remaining: Duration) -> Duration {
-        if !self.latency.is_known() {
+        if !self.latency.has_samples() {
             return remaining / 2;
         }
-        let usual = self.latency.high() * ATTEMPT_TIMEOUT_FACTOR;
+        let usual = self.latency.upper_bound() * ATTEMPT_TIMEOUT_FACTOR;
         usual.max(MIN_ATTEMPT_TIMEOUT)
     }
 
@@ -205,7 +205,7 @@
             } else {
                 Vec::new()
             },
-            high_latency: self.latency.high(),
+            high_latency: self.latency.upper_bound(),
         };
         servers.outliers(now)
     }
@@ -260,7 +260,7 @@
         if is_retry {
             counts.retries += 1;
         } else {
-            counts.given += 1;
+            counts.assigned += 1;
             counts.spilled += u64::from(chosen.spilled);
         }
     }
@@ -287,7 +287,7 @@
             side,
             counts: self.counts.get(&side).copied().unwrap_or_default(),
             servers_in_use: in_use,
-            servers_left_out: servers.len() - in_use,
+            servers_ejected: servers.len() - in_use,
             level: self.side_level(now, view, side),
         }
     }
--- a/crates/coordination/src/outbound/edge_report.rs
+++ b/crates/coordination/src/outbound/edge_report.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SideCounts {
     /// First attempts that the table's weights assigned to the side.
-    pub given: u64,
+    pub assigned: u64,
     /// First attempts assigned to the side that were sent to the other side.
     pub spilled: u64,
     /// Further attempts of calls that the weights assigned to the side.
@@ -25,7 +25,7 @@
     pub servers_in_use: usize,
     /// Number of the side's servers that are ejected or half-open because they
     /// failed.
-    pub servers_left_out: usize,
+    pub servers_ejected: usize,
     /// Mean of the lowest priorities that the side's servers admit.
     pub level: AdmissionLevel,
 }
--- a/crates/coordination/src/outbound/server_state.rs
+++ b/crates/coordination/src/outbound/server_state.rs
@@ -188,7 +188,7 @@
     /// Relative cost of sending one more call to the server, computed from its
     /// latency, utilization and failure rate; compared between servers only.
     pub fn cost(&self, now: Timestamp, default_limit: u32, typical_latency: Duration) -> f64 {
-        let latency = if self.latency.is_known() {
+        let latency = if self.latency.has_samples() {
             self.latency.decayed_mean(now)
         } else {
             typical_latency
--- a/crates/coordination/src/request_tree.rs
+++ b/crates/coordination/src/request_tree.rs
@@ -9,9 +9,9 @@
 
 use lifthollow_state::{Directory, RetryAllowance, Timestamp};
 
+use crate::backpressure::{CallGraph, CallSource, CallerIndex};
 use crate::inbound::{Attempt, InboundEffect, InboundEvent, InboundId, RunResult};
 use crate::outbound::{Call, CallId, OutboundEffect, OutboundEvent};
-use crate::pressure::{CallGraph, CallSource, CallerIndex};
 use crate::retry::AllowanceLedger;
 
 /// The attempts in progress on a node's local back ends and the calls nested below
@@ -56,7 +56,7 @@
             InboundEvent::AttemptArrived { id, attempt } => self.insert(directory, *id, attempt),
             InboundEvent::RunAnswered { id, result } => {
                 if let RunResult::Completed { success } = *result {
-                    self.call_graph.completed(*id, success);
+                    self.call_graph.record_completion(*id, success);
                 }
             }
             InboundEvent::RunClosed { id } | InboundEvent::AttemptCancelled { id } => {
@@ -74,7 +74,7 @@
     pub fn record_inbound_effects(&mut self, effects: &[InboundEffect]) {
         for effect in effects {
             if let InboundEffect::Answer { id, .. } | InboundEffect::Replay { id, .. } = effect {
-                self.call_graph.dropped(*id);
+                self.call_graph.remove_run(*id);
             }
         }
     }
@@ -112,14 +112,14 @@
         };
         let class = context.priority.class;
         self.ledger.open(id, context.allowance);
-        self.call_graph.arrived(id, source.clone(), class);
+        self.call_graph.add_run(id, source.clone(), class);
         let deadline = context.deadline;
         self.attempts.insert(id, AttemptOrigin { source, deadline });
     }
 
     fn remove_attempt(&mut self, id: InboundId) {
         self.ledger.settle(id);
-        self.call_graph.dropped(id);
+        self.call_graph.remove_run(id);
         self.attempts.remove(&id);
     }
 
@@ -132,7 +132,7 @@
         if let Some(origin) = self.attempts.get(&parent) {
             context.deadline = context.deadline.min(origin.deadline);
         }
-        self.call_graph.called(parent, &description.service);
+        self.call_graph.record_call(parent, &description.service);
         self.parents.insert(call, parent);
     }
 }
--- a/crates/coordination/tests/admission.rs
+++ b/crates/coordination/tests/admission.rs
@@ -234,12 +234,12 @@
             if threshold.level() > level {
                 continue;
             }
-            threshold.arrived(level);
+            threshold.record_arrival(level);
             served += 1;
             if served > capacity {
-                threshold.turned_away();
+                threshold.record_rejection();
             } else {
-                threshold.finished();
+                threshold.record_run_end();
             }
         }
         let running = served.min(capacity) as usize;
--- a/crates/coordination/tests/mesh_admission.rs
+++ b/crates/coordination/tests/mesh_admission.rs
@@ -201,7 +201,7 @@
             AdmissionDecision::Run
         );
         let run = admission.started(at(number), &request);
-        admission.called(run, "media");
+        admission.record_call(run, "media");
         admission.answered(at(number), run, true);
         admission.finish(at(number), &request, run, RunEnd::Served, Some(ms(1)));
     }
@@ -308,7 +308,7 @@
     for number in 0..30 {
         let request = sheddable(&number.to_string(), 0);
         let run = admission.started(at(number), &request);
-        admission.called(run, "media");
+        admission.record_call(run, "media");
         admission.call_ended(run, true);
         admission.answered(at(number), run, false);
         admission.finish(at(number), &request, run, RunEnd::Failed, None);
@@ -328,7 +328,7 @@
         let run = admission.started(at(number), &request);
         let calls = number % 2 == 0;
         if calls {
-            admission.called(run, "media");
+            admission.record_call(run, "media");
             admission.call_ended(run, true);
         }
         admission.answered(at(number), run, !calls);
@@ -361,7 +361,7 @@
 fn run_calling(admission: &mut ServerAdmission, request: &ArrivingAttempt, called: Option<&str>) {
     let run = admission.started(at(0), request);
     if let Some(service) = called {
-        admission.called(run, service);
+        admission.record_call(run, service);
         admission.call_ended(run, false);
     }
     admission.answered(at(0), run, true);
--- a/crates/coordination/tests/mesh_processor.rs
+++ b/crates/coordination/tests/mesh_processor.rs
@@ -66,12 +66,12 @@
                     outcome.admitted += 1;
                     outcome.important.1 += u32::from(is_important);
                     self.backlog += 1.0;
-                    self.admission.arrived(now, level);
+                    self.admission.record_arrival(now, level);
                 }
             }
             let done = self.backlog.min(CAPACITY * OBSERVATION_SECONDS);
             self.backlog -= done;
-            (0..done as usize).for_each(|_| self.admission.finished());
+            (0..done as usize).for_each(|_| self.admission.record_attempt_end());
             let wait = self.backlog / CAPACITY;
             outcome.longest_wait = outcome.longest_wait.max(wait);
             self.admission.observe(now, Duration::from_secs_f64(wait));
--- a/crates/coordination/tests/pressure.rs
+++ b/crates/coordination/tests/pressure.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
+use lifthollow_coordination::backpressure::{CallGraph, CallSource, downstream_level};
 use lifthollow_coordination::inbound::InboundId;
-use lifthollow_coordination::pressure::{CallGraph, CallSource, downstream_level};
 use lifthollow_protocol::AdmissionLevel;
 use lifthollow_state::{Priority, PriorityClass, ServiceName};
 
@@ -23,11 +23,11 @@
 fn record_runs(graph: &mut CallGraph, class: PriorityClass, of_ten: u64) {
     for number in 0..100 {
         let id = InboundId(number);
-        graph.arrived(id, source(None), class);
+        graph.add_run(id, source(None), class);
         if number % 10 < of_ten {
-            graph.called(id, &ServiceName::new("deep"));
+            graph.record_call(id, &ServiceName::new("deep"));
         }
-        graph.completed(id, true);
+        graph.record_completion(id, true);
     }
 }
 
--- a/crates/coordination/tests/retry_bound.rs
+++ b/crates/coordination/tests/retry_bound.rs
@@ -225,7 +225,7 @@
         let Some((to, attempt)) = self.callers.remove(&(at, id)) else {
             return;
         };
-        let unspent = self.nodes[at].settle_allowance(id);
+        let unspent = self.nodes[at].close_allowance(id);
         let lost = self.choose(4) == 0;
         let (result, unspent) = if lost {
             let reason = RefusalReason::AnswerLost;
--- a/crates/daemon/src/control/snapshot.rs
+++ b/crates/daemon/src/control/snapshot.rs
@@ -157,11 +157,11 @@
         .map(|(edge, side)| EdgeStatus {
             service: edge.service.to_string(),
             side: side.side.to_string(),
-            given: side.counts.given,
+            given: side.counts.assigned,
             spilled: side.counts.spilled,
             retries: side.counts.retries,
             servers_in_use: side.servers_in_use,
-            servers_left_out: side.servers_left_out,
+            servers_left_out: side.servers_ejected,
             admission_level: side.level.0,
         })
         .collect()
--- a/crates/daemon/src/control/thread.rs
+++ b/crates/daemon/src/control/thread.rs
@@ -257,7 +257,7 @@
         let effect = AttemptEffect::Replay {
             answer,
             load: self.parts.node.load(now, &subject.service),
-            unspent: self.parts.node.settle_allowance(id),
+            unspent: self.parts.node.close_allowance(id),
         };
         self.router.route_inbound(id, effect);
     }
@@ -266,7 +266,10 @@
         let Some(subject) = self.router.inbound_subject(id) else {
             return;
         };
-        let load = self.parts.node.load_for_caller(now, &subject.service, id);
+        let load = self
+            .parts
+            .node
+            .load_with_downstream(now, &subject.service, id);
         if let AttemptResult::NotRun { reason, .. } = result {
             let state = state_of_load(load);
             self.record_refusal(now, subject, reason, Outcome::NotRun, state);
@@ -274,7 +277,7 @@
         let effect = AttemptEffect::Answer {
             result,
             load,
-            unspent: self.parts.node.settle_allowance(id),
+            unspent: self.parts.node.close_allowance(id),
         };
         self.router.route_inbound(id, effect);
     }
--- a/crates/proxy/src/outbound/request.rs
+++ b/crates/proxy/src/outbound/request.rs
@@ -112,7 +112,7 @@
     let mut state = node.state.borrow_mut();
     match state.admission.parent_of(id, deadline) {
         Some(parent) => {
-            state.admission.called(parent.run, &route.service);
+            state.admission.record_call(parent.run, &route.service);
             let place = CallTreePlace {
                 priority: parent.priority,
                 is_nested: true,
--- a/crates/sim/src/world/inbound_effects.rs
+++ b/crates/sim/src/world/inbound_effects.rs
@@ -227,8 +227,10 @@
         let id = wire.inbound();
         let machine = self.machine_mut(index);
         let now_there = machine.local(now);
-        let load = machine.node.load_for_caller(now_there, &service_name, id);
-        let unspent = machine.node.settle_allowance(id);
+        let load = machine
+            .node
+            .load_with_downstream(now_there, &service_name, id);
+        let unspent = machine.node.close_allowance(id);
         let answer = AttemptAnswer {
             result,
             load: Some(load),
