--- a/crates/coordination/src/baseline/fixed_inbound.rs
+++ b/crates/coordination/src/baseline/fixed_inbound.rs
@@ -1,4 +1,4 @@
-//! Fixed ceilings, or none, with a first-in first-out queue.
+//! Inbound baseline policy: fixed limits or none, with a first-in first-out queue.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -11,10 +11,10 @@
     Attempt, InboundEffect, InboundEvent, InboundId, InboundPolicy, attempt_result,
 };
 
-/// What a refused caller's node is told.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Time after which refused callers are asked to call again.
+const REFUSAL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Inbound side of the baselines.
+/// Inbound policy of the baselines.
 #[derive(Debug)]
 pub struct FixedInbound {
     side: Side,
@@ -26,12 +26,13 @@
 }
 
 impl FixedInbound {
-    /// No limits: every attempt goes to the back end at once.
+    /// Creates a policy without limits: every attempt is run on the back end at once.
     pub fn passthrough(side: Side) -> Self {
         FixedInbound::new(side, false)
     }
 
-    /// The table's `max_in_flight` and `max_queue` as fixed ceilings.
+    /// Creates a policy that uses the table's `max_in_flight` and `max_queue` as fixed
+    /// limits.
     pub fn static_limits(side: Side) -> Self {
         FixedInbound::new(side, true)
     }
@@ -47,7 +48,7 @@
         }
     }
 
-    fn arrive(
+    fn handle_arrival(
         &mut self,
         view: &View,
         id: InboundId,
@@ -98,7 +99,7 @@
         }
     }
 
-    fn finish(&mut self, view: &View, id: InboundId, effects: &mut Vec<InboundEffect>) {
+    fn handle_run_closed(&mut self, view: &View, id: InboundId, effects: &mut Vec<InboundEffect>) {
         self.running.remove(&id);
         self.answered.remove(&id);
         while let Some((_, next)) = self.queue.front() {
@@ -111,7 +112,7 @@
         }
     }
 
-    fn cancel(&mut self, id: InboundId, effects: &mut Vec<InboundEffect>) {
+    fn cancel_attempt(&mut self, id: InboundId, effects: &mut Vec<InboundEffect>) {
         self.queue.retain(|(queued, _)| *queued != id);
         if self.limited && self.running.contains_key(&id) {
             effects.push(InboundEffect::CancelRun { id });
@@ -124,7 +125,7 @@
         id,
         result: AttemptResult::NotRun {
             reason,
-            retry_after: RETRY_AFTER,
+            retry_after: REFUSAL_RETRY_AFTER,
         },
     });
 }
@@ -139,13 +140,13 @@
     ) {
         match event {
             InboundEvent::AttemptArrived { id, attempt } => {
-                self.arrive(view, id, attempt, effects);
+                self.handle_arrival(view, id, attempt, effects);
             }
             InboundEvent::RunAnswered { id, result } => {
                 self.answer(id, attempt_result(result), effects);
             }
-            InboundEvent::RunClosed { id } => self.finish(view, id, effects),
-            InboundEvent::AttemptCancelled { id } => self.cancel(id, effects),
+            InboundEvent::RunClosed { id } => self.handle_run_closed(view, id, effects),
+            InboundEvent::AttemptCancelled { id } => self.cancel_attempt(id, effects),
             InboundEvent::Leave => self.leaving = true,
             InboundEvent::HealthReported { .. }
             | InboundEvent::AnswerRecorded { .. }
--- a/crates/coordination/src/mesh/rate_limits/send_pace.rs
+++ b/crates/coordination/src/mesh/rate_limits/send_pace.rs
@@ -1,8 +1,8 @@
-//! How often a caller's node tries a server that names a limit.
+//! Pacing of the attempts that a caller's node sends to a server with a rate limit.
 //!
-//! Nobody tells a node its part of the limit, since that depends on what all others send. A node
-//! tries less often each time that it is turned away, and a little more often each time that it is
-//! not.
+//! A node isn't told its share of the limit, because that depends on what all other nodes send. The
+//! node lengthens its send interval each time that an attempt is rejected for the limit, and
+//! shortens it a little each time that one is served.
 
 use std::time::Duration;
 
@@ -11,80 +11,86 @@
 
 use super::{allowed_per_second, gets_trials_only};
 
-/// By how much the interval grows when the server's node turns an attempt away.
-const SLOW_DOWN: f64 = 1.5;
-/// By how much it shrinks when an attempt is served. With [`SLOW_DOWN`], about one in fourteen is
-/// turned away where many nodes share a limit.
-const SPEED_UP: f64 = 0.97;
-/// The longest interval. Within it, a node learns that the server takes more again.
+/// Factor by which the interval grows when the server's node rejects an attempt.
+const REJECTED_INTERVAL_FACTOR: f64 = 1.5;
+/// Factor by which the interval shrinks when an attempt is served. Together with
+/// [`REJECTED_INTERVAL_FACTOR`], about one attempt in fourteen is rejected when many nodes share a
+/// limit.
+const SERVED_INTERVAL_FACTOR: f64 = 0.97;
+/// Maximum interval between attempts, within which a node learns that the server accepts more
+/// again.
 const MAX_INTERVAL: Duration = Duration::from_secs(1);
-/// A node that is alone tries a little more often than the limit allows, or would never find out
-/// that there is no other.
-const SHORTEST: f64 = 0.9;
+/// Minimum interval, as a fraction of the interval that the limit allows to a single node. A node
+/// that is alone sends slightly more than the limit allows; otherwise it would never find out that
+/// no other node sends.
+const MIN_INTERVAL_FRACTION: f64 = 0.9;
 
-/// When a node may next send to a server that names a limit.
+/// Send interval of a node for a server with a rate limit, and the time of its next attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct SendPace {
     limit: RequestRate,
     interval: Duration,
-    next: Timestamp,
+    next_at: Timestamp,
 }
 
 impl SendPace {
-    /// The server has named `limit` for the first time.
+    /// Creates the pace for a server that has announced `limit` for the first time.
     pub fn new(now: Timestamp, limit: RequestRate) -> Self {
-        let interval = shortest_interval(limit);
+        let interval = min_interval(limit);
         SendPace {
             limit,
             interval,
-            next: now + interval,
+            next_at: now + interval,
         }
     }
 
-    /// The limit.
+    /// Returns the limit that the server announced.
     pub fn limit(&self) -> RequestRate {
         self.limit
     }
 
-    /// The server names another limit: this node's part of it changes alike.
+    /// Sets a new limit that the server announced, and changes this node's share of it in
+    /// proportion.
     pub fn set_limit(&mut self, limit: RequestRate) {
         let ratio = allowed_per_second(self.limit) / allowed_per_second(limit);
         self.limit = limit;
         self.set_interval(self.interval.mul_f64(ratio));
     }
 
-    /// An attempt was sent.
-    pub fn sent(&mut self, now: Timestamp) {
-        let next = self.next.max(now) + self.interval;
-        self.next = next.min(now + MAX_INTERVAL);
+    /// Records that an attempt was sent at `now`, and schedules the next one.
+    pub fn record_attempt(&mut self, now: Timestamp) {
+        let next_at = self.next_at.max(now) + self.interval;
+        self.next_at = next_at.min(now + MAX_INTERVAL);
     }
 
-    /// The server ran an attempt.
-    pub fn served(&mut self) {
-        self.set_interval(self.interval.mul_f64(SPEED_UP));
+    /// Records that the server ran an attempt, and shortens the interval.
+    pub fn record_success(&mut self) {
+        self.set_interval(self.interval.mul_f64(SERVED_INTERVAL_FACTOR));
     }
 
-    /// The server's node turned an attempt away.
-    pub fn turned_away(&mut self, now: Timestamp) {
-        self.set_interval(self.interval.mul_f64(SLOW_DOWN));
-        self.next = now + self.interval;
+    /// Records that the server's node rejected an attempt for the limit, and lengthens the
+    /// interval.
+    pub fn record_rejection(&mut self, now: Timestamp) {
+        self.set_interval(self.interval.mul_f64(REJECTED_INTERVAL_FACTOR));
+        self.next_at = now + self.interval;
     }
 
-    /// The time until the server should get another attempt. One that is only tried now and then
-    /// should get none that can't be repeated: it may well refuse to run it.
-    pub fn time_until_next(&self, now: Timestamp, may_repeat: bool) -> Duration {
-        if gets_trials_only(self.limit) && !may_repeat {
+    /// Returns the time until the next attempt may be sent to the server. A server whose limit is
+    /// so low that it only gets occasional trials should get no attempt that can't be retried,
+    /// because it is likely to refuse it; the maximum interval is returned for such an attempt.
+    pub fn time_until_next(&self, now: Timestamp, may_retry: bool) -> Duration {
+        if gets_trials_only(self.limit) && !may_retry {
             return MAX_INTERVAL;
         }
-        self.next.saturating_since(now)
+        self.next_at.saturating_since(now)
     }
 
     fn set_interval(&mut self, interval: Duration) {
-        self.interval = interval.clamp(shortest_interval(self.limit), MAX_INTERVAL);
+        self.interval = interval.clamp(min_interval(self.limit), MAX_INTERVAL);
     }
 }
 
-fn shortest_interval(limit: RequestRate) -> Duration {
-    let seconds = SHORTEST / allowed_per_second(limit);
+fn min_interval(limit: RequestRate) -> Duration {
+    let seconds = MIN_INTERVAL_FRACTION / allowed_per_second(limit);
     Duration::from_secs_f64(seconds).min(MAX_INTERVAL)
 }
--- a/crates/coordination/src/mesh/tenants/borrower.rs
+++ b/crates/coordination/src/mesh/tenants/borrower.rs
@@ -1,188 +1,193 @@
-//! Whether a node has a token for a tenant's request.
+//! Tokens that a node holds for the requests of one tenant.
 //!
-//! Tokens come from the tenant's lender, a few at a time, and expire. Each node has besides an
-//! equal part of what the fleet may use on top of the limit, without asking anybody.
+//! A request needs a token to run. A node borrows tokens from the tenant's lender, a few at a time,
+//! and they expire. In addition each node has an equal share of what the fleet may use above the
+//! limit ("free tokens"), which it uses without asking a lender.
 
 use std::time::Duration;
 
 use lifthollow_state::Timestamp;
 
 use crate::mesh::tenants::fleet_quota::FleetQuota;
-use crate::mesh::tenants::lender::{Loan, Question};
-
-/// Tokens that were lent and not used expire after this time.
-const LOAN_TIME: Duration = Duration::from_secs(1);
-/// Tokens are asked for ahead for this time.
-const AHEAD_TIME: Duration = Duration::from_millis(500);
-/// The time over which a tenant's requests at this node are counted.
-const DEMAND_TIME: Duration = Duration::from_secs(1);
-/// A node that no lender answers tries again after this time.
-const UNANSWERED_PAUSE: Duration = Duration::from_millis(200);
-/// Callers over their tenant's limit are asked to come back after this time at most.
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(3);
-
-/// What becomes of a request.
+use crate::mesh::tenants::lender::{Loan, TokenRequest};
+
+/// Time after which borrowed tokens that were not used expire.
+const LOAN_EXPIRY: Duration = Duration::from_secs(1);
+/// Time for whose expected requests a node asks for tokens in advance.
+const PREFETCH_TIME: Duration = Duration::from_millis(500);
+/// Time constant of the exponentially decaying count of a tenant's requests at this node.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(1);
+/// Time after which a node asks again if no lender answered.
+const ASK_AGAIN_AFTER: Duration = Duration::from_millis(200);
+/// Maximum retry delay given to callers whose tenant is over its limit.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(3);
+
+/// Result of taking a token for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// It has a token.
+pub enum TokenDecision {
+    /// The request has a token and may run.
     Token,
-    /// It may have one once the lender has answered.
+    /// There is no token; the request may get one once the lender has answered.
     AskLender,
-    /// Its tenant is at its limit; a token is expected after this time.
+    /// The tenant is at its limit; a token for this request is expected after this time.
     OverLimit(Duration),
-    /// Nobody tells whether its tenant is; one may after this time.
+    /// No lender answered, so it is unknown whether the tenant is at its limit; the lenders may be
+    /// asked again after this time.
     Unanswered(Duration),
 }
 
-/// Why a node does not ask.
+/// Reason why a node doesn't ask the lender for tokens for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Closed {
+enum NoAskReason {
     AtLimit,
     Unanswered,
 }
 
-/// What a node knows of one tenant's tokens.
+/// State of one tenant's tokens at a node.
 #[derive(Clone, Debug)]
 pub struct Borrower {
-    lent: u32,
+    lent_tokens: u32,
     lent_until: Timestamp,
-    free: f64,
-    counted: Timestamp,
-    /// Requests of this node, counted less the longer ago they came.
+    free_tokens: f64,
+    updated_at: Timestamp,
+    /// Exponentially decaying count of the tenant's requests at this node.
     demand: f64,
-    arrived_since_question: u32,
+    arrived_since_ask: u32,
     waiting: u32,
-    closed: Option<(Closed, Timestamp)>,
-    refused_since_closed: u32,
-    rate: f64,
+    no_ask_until: Option<(NoAskReason, Timestamp)>,
+    refused_since_answer: u32,
+    expected_rate: f64,
 }
 
 impl Borrower {
-    /// A node that has asked for nothing yet.
+    /// Creates the state of a node that has not asked for tokens yet.
     pub fn new(now: Timestamp, quota: &FleetQuota) -> Self {
         Borrower {
-            lent: 0,
+            lent_tokens: 0,
             lent_until: now,
-            free: quota.free_at_once(),
-            counted: now,
+            free_tokens: quota.free_burst(),
+            updated_at: now,
             demand: 0.0,
-            arrived_since_question: 0,
+            arrived_since_ask: 0,
             waiting: 0,
-            closed: None,
-            refused_since_closed: 0,
-            rate: 0.0,
+            no_ask_until: None,
+            refused_since_answer: 0,
+            expected_rate: 0.0,
         }
     }
 
-    /// A request came. It uses a token if there is one.
-    pub fn arrive(&mut self, now: Timestamp, quota: &FleetQuota) -> Taken {
-        self.count(now, quota);
+    /// Counts a new request and takes a token for it if there is one.
+    pub fn arrive(&mut self, now: Timestamp, quota: &FleetQuota) -> TokenDecision {
+        self.update_counters(now, quota);
         self.demand += 1.0;
-        self.arrived_since_question = self.arrived_since_question.saturating_add(1);
-        self.take(now)
+        self.arrived_since_ask = self.arrived_since_ask.saturating_add(1);
+        self.take_token(now)
     }
 
-    /// A request that waited for the lender's answer uses a token if there is one.
-    pub fn take_after_answer(&mut self, now: Timestamp, quota: &FleetQuota) -> Taken {
-        self.count(now, quota);
-        self.take(now)
+    /// Takes a token, if there is one, for a request that waited for the lender's answer.
+    pub fn take_token_after_answer(&mut self, now: Timestamp, quota: &FleetQuota) -> TokenDecision {
+        self.update_counters(now, quota);
+        self.take_token(now)
     }
 
-    fn take(&mut self, now: Timestamp) -> Taken {
-        if self.lent > 0 && now < self.lent_until {
-            self.lent -= 1;
-            return Taken::Token;
+    fn take_token(&mut self, now: Timestamp) -> TokenDecision {
+        if self.lent_tokens > 0 && now < self.lent_until {
+            self.lent_tokens -= 1;
+            return TokenDecision::Token;
         }
-        if self.free >= 1.0 {
-            self.free -= 1.0;
-            return Taken::Token;
+        if self.free_tokens >= 1.0 {
+            self.free_tokens -= 1.0;
+            return TokenDecision::Token;
         }
-        match self.closed {
-            Some((why, until)) if now < until => self.refuse(why, until.saturating_since(now)),
-            _ => Taken::AskLender,
+        match self.no_ask_until {
+            Some((cause, until)) if now < until => self.refuse(cause, until.saturating_since(now)),
+            _ => TokenDecision::AskLender,
         }
     }
 
-    fn refuse(&mut self, why: Closed, left: Duration) -> Taken {
-        if why == Closed::Unanswered {
-            return Taken::Unanswered(left);
+    fn refuse(&mut self, cause: NoAskReason, left: Duration) -> TokenDecision {
+        if cause == NoAskReason::Unanswered {
+            return TokenDecision::Unanswered(left);
         }
-        self.refused_since_closed = self.refused_since_closed.saturating_add(1);
-        // Those who come back are spread over the time in which tokens for them are expected.
-        let place = f64::from(self.refused_since_closed);
-        let spread = place / self.rate.max(1.0 / LONGEST_RETRY_AFTER.as_secs_f64());
-        let spread = Duration::from_secs_f64(spread.min(LONGEST_RETRY_AFTER.as_secs_f64()));
-        Taken::OverLimit((left + spread).min(LONGEST_RETRY_AFTER))
+        self.refused_since_answer = self.refused_since_answer.saturating_add(1);
+        // Spreads the retries of refused callers over the time in which tokens for them are
+        // expected.
+        let position = f64::from(self.refused_since_answer);
+        let spread = position / self.expected_rate.max(1.0 / MAX_RETRY_AFTER.as_secs_f64());
+        let spread = Duration::from_secs_f64(spread.min(MAX_RETRY_AFTER.as_secs_f64()));
+        TokenDecision::OverLimit((left + spread).min(MAX_RETRY_AFTER))
     }
 
-    /// A request begins to wait for the lender's answer.
+    /// Records that a request begins to wait for the lender's answer.
     pub fn begin_waiting(&mut self) {
         self.waiting += 1;
     }
 
-    /// A request waits no longer.
+    /// Records that a request no longer waits for the lender's answer.
     pub fn end_waiting(&mut self) {
         self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// What to ask the lender now.
-    pub fn question(&mut self, now: Timestamp, quota: &FleetQuota) -> Question {
-        self.count(now, quota);
-        let expected = self.demand / DEMAND_TIME.as_secs_f64() * AHEAD_TIME.as_secs_f64();
-        Question {
+    /// Returns the token request to send to the lender now.
+    pub fn token_request(&mut self, now: Timestamp, quota: &FleetQuota) -> TokenRequest {
+        self.update_counters(now, quota);
+        let expected =
+            self.demand / DEMAND_TIME_CONSTANT.as_secs_f64() * PREFETCH_TIME.as_secs_f64();
+        TokenRequest {
             wanted: self.waiting.max(1),
-            arrived: std::mem::take(&mut self.arrived_since_question),
+            arrived: std::mem::take(&mut self.arrived_since_ask),
             expected: expected as u32,
         }
     }
 
-    /// The lender answered a question of `asked`.
+    /// Records the lender's answer to the token request that was sent at `asked`.
     pub fn answered(&mut self, now: Timestamp, asked: Timestamp, loan: Loan) {
         if now >= self.lent_until {
-            self.lent = 0;
+            self.lent_tokens = 0;
         }
-        self.lent = self.lent.saturating_add(loan.tokens);
-        // From the question on, as the answer may have been under way for long.
-        self.lent_until = (asked + LOAN_TIME).max(self.lent_until.min(now + LOAN_TIME));
-        self.rate = loan.rate;
-        self.refused_since_closed = 0;
+        self.lent_tokens = self.lent_tokens.saturating_add(loan.tokens);
+        // The loan expires relative to the time of the token request, as the answer may have been
+        // delayed.
+        self.lent_until = (asked + LOAN_EXPIRY).max(self.lent_until.min(now + LOAN_EXPIRY));
+        self.expected_rate = loan.rate;
+        self.refused_since_answer = 0;
         let is_at_limit = !loan.pause.is_zero();
-        self.closed = is_at_limit.then(|| (Closed::AtLimit, now + loan.pause));
+        self.no_ask_until = is_at_limit.then(|| (NoAskReason::AtLimit, now + loan.pause));
     }
 
-    /// No lender answered.
-    pub fn unanswered(&mut self, now: Timestamp) {
-        self.closed = Some((Closed::Unanswered, now + UNANSWERED_PAUSE));
+    /// Records that no lender answered.
+    pub fn record_no_answer(&mut self, now: Timestamp) {
+        self.no_ask_until = Some((NoAskReason::Unanswered, now + ASK_AGAIN_AFTER));
     }
 
-    /// A request that had a token did not run.
+    /// Takes back the token of a request that did not run.
     pub fn give_back(&mut self, now: Timestamp) {
         if now >= self.lent_until {
-            self.lent = 0;
-            self.lent_until = now + LOAN_TIME;
+            self.lent_tokens = 0;
+            self.lent_until = now + LOAN_EXPIRY;
         }
-        self.lent = self.lent.saturating_add(1);
+        self.lent_tokens = self.lent_tokens.saturating_add(1);
     }
 
-    /// Whether the tenant is at its limit as far as this node knows.
+    /// Returns whether the tenant is at its limit as far as this node knows.
     pub fn is_at_limit(&self, now: Timestamp) -> bool {
-        self.closed
-            .is_some_and(|(why, until)| why == Closed::AtLimit && now < until)
+        self.no_ask_until
+            .is_some_and(|(cause, until)| cause == NoAskReason::AtLimit && now < until)
     }
 
-    /// Whether nothing is left that a new borrower wouldn't know.
+    /// Returns whether this state equals that of a new borrower, so that it can be dropped.
     pub fn is_idle(&self, now: Timestamp, quota: &FleetQuota) -> bool {
-        let passed = now.saturating_since(self.counted).as_secs_f64();
+        let elapsed = now.saturating_since(self.updated_at).as_secs_f64();
         self.waiting == 0
             && now >= self.lent_until
-            && self.free + quota.free_rate() * passed >= quota.free_at_once()
+            && self.free_tokens + quota.free_rate() * elapsed >= quota.free_burst()
     }
 
-    fn count(&mut self, now: Timestamp, quota: &FleetQuota) {
-        let passed = now.saturating_since(self.counted).as_secs_f64();
-        self.demand *= (-passed / DEMAND_TIME.as_secs_f64()).exp();
-        let free = self.free + quota.free_rate() * passed;
-        self.free = free.min(quota.free_at_once());
-        self.counted = self.counted.max(now);
+    fn update_counters(&mut self, now: Timestamp, quota: &FleetQuota) {
+        let elapsed = now.saturating_since(self.updated_at).as_secs_f64();
+        self.demand *= (-elapsed / DEMAND_TIME_CONSTANT.as_secs_f64()).exp();
+        let free_tokens = self.free_tokens + quota.free_rate() * elapsed;
+        self.free_tokens = free_tokens.min(quota.free_burst());
+        self.updated_at = self.updated_at.max(now);
     }
 }
--- a/crates/coordination/src/outbound/edge.rs
+++ b/crates/coordination/src/outbound/edge.rs
@@ -1,4 +1,5 @@
-//! One edge of the call graph: this node's calls to one service.
+//! One edge of the call graph: this node's calls to one service and what they
+//! revealed about its servers.
 
 mod choice;
 
@@ -20,55 +21,58 @@
 use crate::latency::LatencyEstimate;
 use crate::retry::RetryBudget;
 
-/// An attempt is not given up for another before this.
+/// An attempt runs at least this long before another server is tried instead.
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(50);
-/// Nor before this many times the time that almost every answer takes.
+/// An attempt also runs at least this many times the latency that almost every
+/// answer stays under before another server is tried instead.
 const ATTEMPT_TIMEOUT_FACTOR: u32 = 2;
 
-/// What a call asks of the choice of a server.
+/// Requirements of a call on the server chosen for it.
 #[derive(Clone, Debug)]
-pub struct Wanted<'a> {
-    /// The call's place in the order of shedding.
+pub struct ServerRequirements<'a> {
+    /// The call's priority, which decides the order in which load is shed.
     pub priority: Priority,
-    /// Servers that were tried before.
+    /// Servers that earlier attempts of the call were sent to.
     pub tried: &'a [NodeId],
-    /// The side of the first attempt, if this is a retry.
+    /// The side assigned to the call's first attempt, if this is a retry.
     pub side: Option<Side>,
-    /// Whether the call could be repeated if a server on trial fails it.
-    pub may_try: bool,
-    /// Whether the server must have room, as far as is known.
-    pub needs_room: bool,
+    /// Whether a half-open server may be chosen: the call can be sent again if
+    /// that server fails it.
+    pub may_use_half_open: bool,
+    /// Whether the server must have spare capacity, as far as this node knows.
+    pub needs_capacity: bool,
 }
 
 /// The server chosen for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Chosen {
-    /// Its node.
+pub struct ChosenServer {
+    /// The node that the attempt is sent to.
     pub server: NodeId,
-    /// The side that the weights gave the call to.
+    /// The side that the table's weights assigned the call to.
     pub side: Side,
-    /// Whether the other side had to carry it.
+    /// Whether the server belongs to the other side, because the assigned side
+    /// could not take the call.
     pub spilled: bool,
 }
 
-/// What this node has seen of one service.
+/// What this node has observed of one service and its servers.
 #[derive(Debug)]
 pub struct Edge {
     service: ServiceName,
     zone: Zone,
     side_choice: SideChoice,
     servers: BTreeMap<NodeId, ServerRecord>,
-    /// Latency of good answers over all servers.
+    /// Latency of successful answers over all servers of the service.
     pub latency: LatencyEstimate,
-    /// Retries that the edge can pay for.
+    /// Budget that limits retries to a share of the edge's first attempts.
     pub budget: RetryBudget,
     counts: BTreeMap<Side, SideCounts>,
-    /// Classes kept out after calls were refused without an attempt.
+    /// Priority classes refused after calls were refused without an attempt.
     pub class_floor: ClassFloor,
 }
 
 impl Edge {
-    /// The edge from a node in `zone` to `service`.
+    /// Creates the edge from a node in `zone` to `service`.
     pub fn new(service: ServiceName, zone: Zone, random: &mut impl Rng) -> Self {
         Edge {
             service,
@@ -82,15 +86,16 @@
         }
     }
 
-    /// What was seen of a server.
+    /// The record of a server, created if the server is new.
     pub fn server_mut(&mut self, now: Timestamp, node: NodeId) -> &mut ServerRecord {
         self.servers
             .entry(node)
             .or_insert_with(|| ServerRecord::new(now))
     }
 
-    /// An attempt ended, and its server may have told its load.
-    pub fn learn(
+    /// Records the outcome of an attempt and the server's load, if it was
+    /// reported.
+    pub fn record_outcome(
         &mut self,
         now: Timestamp,
         server: NodeId,
@@ -99,49 +104,50 @@
         load: Option<LoadReport>,
     ) {
         let record = self.server_mut(now, server);
-        let elapsed = record.ended(now, attempt, outcome);
+        let elapsed = record.record_end(now, attempt, outcome);
         if let Some(load) = load {
-            record.reported(now, load);
+            record.record_report(now, load);
         }
         if let (Some(elapsed), Outcome::Succeeded) = (elapsed, outcome) {
             self.latency.observe(now, elapsed);
         }
     }
 
-    /// An answer's body is being passed on from a server.
-    pub fn streams(&mut self, server: NodeId, attempt: AttemptId) {
+    /// Records that the body of a server's answer is being passed on.
+    pub fn record_stream_started(&mut self, server: NodeId, attempt: AttemptId) {
         if let Some(record) = self.servers.get_mut(&server) {
-            record.streams(attempt);
+            record.record_stream_started(attempt);
         }
     }
 
-    /// The last byte of an answer has passed, or the attempt was given up.
-    pub fn closed(&mut self, server: NodeId, attempt: AttemptId) {
+    /// Records that the last byte of an answer has been passed on, or that the
+    /// attempt was given up.
+    pub fn record_stream_closed(&mut self, server: NodeId, attempt: AttemptId) {
         if let Some(record) = self.servers.get_mut(&server) {
-            record.closed(attempt);
+            record.record_stream_closed(attempt);
         }
     }
 
-    /// How long an attempt of a call that has `remaining` time is waited for
-    /// before another server is considered.
+    /// How long an attempt may take before another server is considered, for a
+    /// call with `remaining` time until its deadline.
     pub fn attempt_timeout(&self, remaining: Duration) -> Duration {
-        if !self.latency.is_known() {
+        if !self.latency.has_samples() {
             return remaining / 2;
         }
-        let usual = self.latency.high() * ATTEMPT_TIMEOUT_FACTOR;
+        let usual = self.latency.upper_bound() * ATTEMPT_TIMEOUT_FACTOR;
         usual.max(MIN_ATTEMPT_TIMEOUT)
     }
 
-    /// The process was paused.
-    pub fn resumed(&mut self, now: Timestamp) {
+    /// Resets time-based records after the process was paused.
+    pub fn handle_resume(&mut self, now: Timestamp) {
         for server in self.servers.values_mut() {
-            server.resumed(now);
+            server.handle_resume(now);
         }
     }
 
-    /// The lowest priority that the service admits: everything while a side is
-    /// open, as it can take over; otherwise the mean of both sides. Sides that
-    /// can't be reached do not count.
+    /// The lowest priority that the service admits. While one side admits every
+    /// priority the service does too, because that side can take over; otherwise
+    /// it is the mean of both sides. Sides that can't be reached do not count.
     pub fn level(&self, now: Timestamp, view: &View) -> AdmissionLevel {
         let weights = self.weights(view);
         let levels: Vec<AdmissionLevel> = Side::ALL
@@ -156,8 +162,9 @@
         AdmissionLevel(sum / levels.len().max(1) as u16)
     }
 
-    /// The mean of what a side's servers said lately. Their calls are spread by
-    /// load, so that one of them alone says little.
+    /// The mean of the admission levels that a side's servers reported recently.
+    /// Calls are spread over the servers by load, so the level of a single server
+    /// says little.
     fn side_level(&self, now: Timestamp, view: &View, side: Side) -> AdmissionLevel {
         let levels: Vec<u64> = self
             .routable(now, view, side)
@@ -170,10 +177,10 @@
         AdmissionLevel(mean as u16)
     }
 
-    /// Leaves out servers that fail while others do better.
+    /// Ejects servers that fail while others do better.
     pub fn eject_outliers(&mut self, now: Timestamp, view: &View) {
         for server in self.servers.values_mut() {
-            server.ejection.refresh(now);
+            server.ejection.expire_ejection(now);
         }
         for side in Side::ALL {
             for node in self.outliers(now, view, side) {
@@ -190,20 +197,21 @@
                 .collect()
         };
         let other = side.other();
-        let takes_over = self.weights(view).of(other) > 0;
+        let other_may_take_over = self.weights(view).of(other) > 0;
         let servers = SideServers {
             servers: records(side),
-            stand_ins: if takes_over {
+            other_side: if other_may_take_over {
                 records(other)
             } else {
                 Vec::new()
             },
-            usual_latency: self.latency.high(),
+            high_latency: self.latency.upper_bound(),
         };
         servers.outliers(now)
     }
 
-    /// Forgets servers that are no longer listed.
+    /// Removes the records of servers that are no longer in the directory, once
+    /// they have no call in progress.
     pub fn forget_unlisted(&mut self, view: &View) {
         let listed = view.directory.servers(&self.service);
         self.servers.retain(|node, server| {
@@ -211,14 +219,14 @@
         });
     }
 
-    fn learn_servers(&mut self, now: Timestamp, view: &View) {
+    fn add_listed_servers(&mut self, now: Timestamp, view: &View) {
         for server in view.directory.servers(&self.service) {
             self.server_mut(now, server.node);
         }
     }
 
-    /// Servers that may get new work: those serving, or if there are none,
-    /// those suspected.
+    /// Servers of a side that may get new calls: those in state `Serving`, or if
+    /// there are none, those in state `Suspected`.
     fn routable(&self, now: Timestamp, view: &View, side: Side) -> Vec<Candidate<'_>> {
         let of_state = |state: ServerState| -> Vec<Candidate<'_>> {
             view.directory
@@ -246,18 +254,18 @@
         })
     }
 
-    /// Counts an attempt that is being sent.
-    pub fn count(&mut self, chosen: Chosen, is_retry: bool) {
+    /// Counts an attempt that is being sent to the chosen server.
+    pub fn count_attempt(&mut self, chosen: ChosenServer, is_retry: bool) {
         let counts = self.counts.entry(chosen.side).or_default();
         if is_retry {
             counts.retries += 1;
         } else {
-            counts.given += 1;
+            counts.assigned += 1;
             counts.spilled += u64::from(chosen.spilled);
         }
     }
 
-    /// What operators are told.
+    /// The report on this edge that operators see.
     pub fn report(&self, now: Timestamp, view: &View) -> EdgeReport {
         let sides = Side::ALL
             .into_iter()
@@ -279,12 +287,12 @@
             side,
             counts: self.counts.get(&side).copied().unwrap_or_default(),
             servers_in_use: in_use,
-            servers_left_out: servers.len() - in_use,
+            servers_ejected: servers.len() - in_use,
             level: self.side_level(now, view, side),
         }
     }
 
-    /// Whether a side has a server in use.
+    /// Whether a side has a server in normal use.
     fn is_reachable(&self, now: Timestamp, view: &View, side: Side) -> bool {
         let servers = self.routable(now, view, side);
         servers
@@ -292,7 +300,7 @@
             .any(|candidate| candidate.record.ejection.is_in_use())
     }
 
-    /// The table's weights; a side without servers has none.
+    /// The table's weights; a side without servers has weight 0.
     fn weights(&self, view: &View) -> SideWeights {
         let weight = |side| {
             let row = view.table.row(&self.service, side);
--- a/crates/coordination/src/request_tree.rs
+++ b/crates/coordination/src/request_tree.rs
@@ -1,20 +1,21 @@
-//! How calls made beside this node belong to the attempts that run there.
+//! Assignment of the calls made by local back ends to the attempts that run there.
 //!
-//! A call nested below an attempt is lent its share of the attempt's retry
-//! allowance, cannot outlive it, and teaches the call graph what the local
-//! service needs.
+//! A call nested below an attempt is lent a share of the attempt's retry allowance,
+//! has no later deadline than the attempt, and is recorded in the call graph as a
+//! need of the local service.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use lifthollow_state::{Directory, RetryAllowance, Timestamp};
 
+use crate::backpressure::{CallGraph, CallSource, CallerIndex};
 use crate::inbound::{Attempt, InboundEffect, InboundEvent, InboundId, RunResult};
 use crate::outbound::{Call, CallId, OutboundEffect, OutboundEvent};
-use crate::pressure::{CallGraph, CallSource, CallerIndex};
 use crate::retry::AllowanceLedger;
 
-/// The attempts in progress beside a node and the calls nested below them.
+/// The attempts in progress on a node's local back ends and the calls nested below
+/// them.
 #[derive(Debug, Default)]
 pub struct RequestTree {
     ledger: AllowanceLedger,
@@ -24,7 +25,7 @@
     attempts: BTreeMap<InboundId, AttemptOrigin>,
 }
 
-/// Where an attempt came from and how long it may take.
+/// The source of an attempt and its deadline.
 #[derive(Debug)]
 struct AttemptOrigin {
     source: CallSource,
@@ -32,33 +33,34 @@
 }
 
 impl RequestTree {
-    /// What the local services call.
+    /// The call graph learned from the calls of the local services.
     pub fn call_graph(&self) -> &CallGraph {
         &self.call_graph
     }
 
-    /// Where an attempt came from, until it is settled.
+    /// The source of an attempt; none once the attempt is settled.
     pub fn source(&self, id: InboundId) -> Option<&CallSource> {
         self.attempts.get(&id).map(|origin| &origin.source)
     }
 
-    /// The allowance that goes back with the answer of an attempt.
+    /// Removes an attempt that is being answered and returns the unspent retry
+    /// allowance that is sent back with the answer.
     pub fn settle(&mut self, id: InboundId) -> RetryAllowance {
         self.attempts.remove(&id);
         self.ledger.settle(id)
     }
 
-    /// Notes what an inbound event means before it is decided on.
-    pub fn before_inbound(&mut self, directory: &Arc<Directory>, event: &InboundEvent) {
+    /// Records an inbound event, before the inbound policy handles it.
+    pub fn record_inbound_event(&mut self, directory: &Arc<Directory>, event: &InboundEvent) {
         match event {
-            InboundEvent::AttemptArrived { id, attempt } => self.arrived(directory, *id, attempt),
+            InboundEvent::AttemptArrived { id, attempt } => self.insert(directory, *id, attempt),
             InboundEvent::RunAnswered { id, result } => {
                 if let RunResult::Completed { success } = *result {
-                    self.call_graph.completed(*id, success);
+                    self.call_graph.record_completion(*id, success);
                 }
             }
             InboundEvent::RunClosed { id } | InboundEvent::AttemptCancelled { id } => {
-                self.ended(*id);
+                self.remove_attempt(*id);
             }
             InboundEvent::AnswerRecorded { .. }
             | InboundEvent::HealthReported { .. }
@@ -68,17 +70,18 @@
         }
     }
 
-    /// Notes what the decisions mean for the attempts.
-    pub fn after_inbound(&mut self, effects: &[InboundEffect]) {
+    /// Records the actions that the inbound policy requested.
+    pub fn record_inbound_effects(&mut self, effects: &[InboundEffect]) {
         for effect in effects {
             if let InboundEffect::Answer { id, .. } | InboundEffect::Replay { id, .. } = effect {
-                self.call_graph.dropped(*id);
+                self.call_graph.remove_run(*id);
             }
         }
     }
 
-    /// Makes a nested call inherit from the attempt it belongs to.
-    pub fn before_outbound(&mut self, event: &mut OutboundEvent) {
+    /// Records an outbound event, before the outbound policy handles it. A nested
+    /// call gets its allowance and its latest deadline from its attempt.
+    pub fn prepare_outbound_event(&mut self, event: &mut OutboundEvent) {
         match event {
             OutboundEvent::CallArrived { call, description } => self.inherit(*call, description),
             OutboundEvent::CallCancelled { call } => {
@@ -88,19 +91,20 @@
         }
     }
 
-    /// Takes back what answered calls did not spend.
-    pub fn after_outbound(&mut self, effects: &[OutboundEffect]) {
+    /// Adds the allowance that answered nested calls did not spend back to their
+    /// attempts.
+    pub fn record_outbound_effects(&mut self, effects: &[OutboundEffect]) {
         for effect in effects {
             let OutboundEffect::Answer { call, unspent, .. } = effect else {
                 continue;
             };
             if let Some(parent) = self.parents.remove(call) {
-                self.ledger.give_back(parent, *unspent);
+                self.ledger.return_unspent(parent, *unspent);
             }
         }
     }
 
-    fn arrived(&mut self, directory: &Arc<Directory>, id: InboundId, attempt: &Attempt) {
+    fn insert(&mut self, directory: &Arc<Directory>, id: InboundId, attempt: &Attempt) {
         let context = &attempt.context;
         let source = CallSource {
             service: attempt.service.clone(),
@@ -108,14 +112,14 @@
         };
         let class = context.priority.class;
         self.ledger.open(id, context.allowance);
-        self.call_graph.arrived(id, source.clone(), class);
+        self.call_graph.add_run(id, source.clone(), class);
         let deadline = context.deadline;
         self.attempts.insert(id, AttemptOrigin { source, deadline });
     }
 
-    fn ended(&mut self, id: InboundId) {
+    fn remove_attempt(&mut self, id: InboundId) {
         self.ledger.settle(id);
-        self.call_graph.dropped(id);
+        self.call_graph.remove_run(id);
         self.attempts.remove(&id);
     }
 
@@ -128,7 +132,7 @@
         if let Some(origin) = self.attempts.get(&parent) {
             context.deadline = context.deadline.min(origin.deadline);
         }
-        self.call_graph.called(parent, &description.service);
+        self.call_graph.record_call(parent, &description.service);
         self.parents.insert(call, parent);
     }
 }
--- a/crates/coordination/tests/admission.rs
+++ b/crates/coordination/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Admission to the back end, under the failure each decision is meant for.
+//! Tests of admission to the back end, each under the kind of overload or failure
+//! that the decision handles.
 
 mod support;
 
@@ -8,7 +9,7 @@
 use lifthollow_coordination::inbound::{RunResult, admission_threshold};
 use lifthollow_protocol::{AdmissionLevel, RefusalReason};
 use lifthollow_state::{PriorityClass, Timestamp};
-use support::{InboundDriver, LIMIT, MAX_QUEUE, at, context, is_run, refusal_of, service};
+use support::{InboundDriver, LIMIT, MAX_QUEUE, at, context, is_run, refusal_reason, service};
 
 const SUCCESS: RunResult = RunResult::Completed { success: true };
 
@@ -23,7 +24,7 @@
         .collect()
 }
 
-fn finish(driver: &mut InboundDriver, now: Timestamp, id: InboundId) -> Vec<InboundEffect> {
+fn complete_run(driver: &mut InboundDriver, now: Timestamp, id: InboundId) -> Vec<InboundEffect> {
     let mut effects = driver.event(
         now,
         InboundEvent::RunAnswered {
@@ -49,21 +50,21 @@
         );
     }
     let (critical, effects) = driver.arrive(at(1), context(PriorityClass::Critical, 0, deadline));
-    assert_eq!(refusal_of(&effects, critical), None);
+    assert_eq!(refusal_reason(&effects, critical), None);
     assert_eq!(
-        refusal_of(&effects, queued[0]),
+        refusal_reason(&effects, queued[0]),
         Some(RefusalReason::Overloaded)
     );
     let (sheddable, effects) =
         driver.arrive(at(1), context(PriorityClass::Sheddable, 127, deadline));
     assert_eq!(
-        refusal_of(&effects, sheddable),
+        refusal_reason(&effects, sheddable),
         Some(RefusalReason::Overloaded)
     );
 }
 
 #[test]
-fn nothing_less_important_is_admitted_just_after_a_refusal() {
+fn less_important_attempt_is_not_run_just_after_a_refusal() {
     let mut driver = InboundDriver::new();
     let running = fill_slots(&mut driver, at(0));
     let deadline = at(10_000);
@@ -72,16 +73,16 @@
     }
     let (refused, effects) = driver.arrive(at(1), context(PriorityClass::Critical, 0, deadline));
     assert_eq!(
-        refusal_of(&effects, refused),
+        refusal_reason(&effects, refused),
         Some(RefusalReason::QueueFull)
     );
     for id in running {
-        finish(&mut driver, at(2), id);
+        complete_run(&mut driver, at(2), id);
     }
     let (normal, effects) = driver.arrive(at(10), context(PriorityClass::Normal, 127, deadline));
     assert!(
         !is_run(&effects, normal),
-        "a critical call was refused just now"
+        "a normal call ran just after a critical one was refused"
     );
     let (normal, effects) = driver.arrive(at(200), context(PriorityClass::Normal, 127, deadline));
     assert!(is_run(&effects, normal));
@@ -94,36 +95,55 @@
     let (late, _) = driver.arrive(at(0), context(PriorityClass::Normal, 5, at(9000)));
     let (early, _) = driver.arrive(at(0), context(PriorityClass::Normal, 5, at(8000)));
     let (critical, _) = driver.arrive(at(0), context(PriorityClass::Critical, 0, at(9500)));
-    assert!(is_run(&finish(&mut driver, at(10), running[0]), critical));
-    assert!(is_run(&finish(&mut driver, at(10), running[1]), early));
-    assert!(is_run(&finish(&mut driver, at(10), running[2]), late));
+    assert!(is_run(
+        &complete_run(&mut driver, at(10), running[0]),
+        critical
+    ));
+    assert!(is_run(
+        &complete_run(&mut driver, at(10), running[1]),
+        early
+    ));
+    assert!(is_run(&complete_run(&mut driver, at(10), running[2]), late));
 }
 
 #[test]
-fn queued_work_that_cannot_finish_in_time_is_refused_at_once_and_never_run() {
+fn queued_attempt_that_cannot_finish_in_time_is_refused_early_and_never_run() {
     let mut driver = InboundDriver::new();
     let warm_up = fill_slots(&mut driver, at(0));
     for id in warm_up {
-        finish(&mut driver, at(100), id);
+        complete_run(&mut driver, at(100), id);
     }
     let running = fill_slots(&mut driver, at(100));
-    let (hopeless, effects) = driver.arrive(at(100), context(PriorityClass::Normal, 64, at(260)));
-    assert_eq!(refusal_of(&effects, hopeless), None);
-    let due = driver.policy.next_wake().expect("the queue is watched");
-    assert!(due < at(200), "a run takes 100 ms");
+    let (unfinishable, effects) =
+        driver.arrive(at(100), context(PriorityClass::Normal, 64, at(260)));
+    assert_eq!(refusal_reason(&effects, unfinishable), None);
+    let due = driver
+        .policy
+        .next_wake()
+        .expect("a queue with an attempt in it has no wake time");
+    assert!(
+        due < at(200),
+        "the attempt is refused too late: a run takes 100 ms"
+    );
     let effects = driver.event(due, InboundEvent::Wake);
     let reason = Some(RefusalReason::DeadlineTooShort);
-    assert_eq!(refusal_of(&effects, hopeless), reason);
-    assert!(!is_run(&finish(&mut driver, at(201), running[0]), hopeless));
+    assert_eq!(refusal_reason(&effects, unfinishable), reason);
+    assert!(!is_run(
+        &complete_run(&mut driver, at(201), running[0]),
+        unfinishable
+    ));
 }
 
 #[test]
-fn work_whose_caller_is_gone_is_not_started() {
+fn cancelled_attempt_is_removed_from_the_queue_or_its_run_is_cancelled() {
     let mut driver = InboundDriver::new();
     let running = fill_slots(&mut driver, at(0));
-    let (gone, _) = driver.arrive(at(0), context(PriorityClass::Normal, 64, at(9000)));
-    driver.event(at(1), InboundEvent::AttemptCancelled { id: gone });
-    assert!(!is_run(&finish(&mut driver, at(2), running[0]), gone));
+    let (cancelled, _) = driver.arrive(at(0), context(PriorityClass::Normal, 64, at(9000)));
+    driver.event(at(1), InboundEvent::AttemptCancelled { id: cancelled });
+    assert!(!is_run(
+        &complete_run(&mut driver, at(2), running[0]),
+        cancelled
+    ));
     let id = running[1];
     let effects = driver.event(at(3), InboundEvent::AttemptCancelled { id });
     assert_eq!(effects, vec![InboundEffect::CancelRun { id }]);
@@ -152,25 +172,28 @@
         let deadline = at(100_000);
         let (id, _) = driver.arrive(now, context(PriorityClass::Normal, 64, deadline));
         let (other, _) = driver.arrive(now, context(PriorityClass::Normal, 64, deadline));
-        finish(&mut driver, now, id);
-        finish(&mut driver, now, other);
+        complete_run(&mut driver, now, id);
+        complete_run(&mut driver, now, other);
     }
     assert!(limit(&driver) > lowered);
 }
 
 #[test]
-fn paused_node_refuses_expired_work_and_looks_again_before_it_starts_the_rest() {
+fn paused_node_refuses_expired_attempts_and_delays_the_start_of_the_others() {
     let mut driver = InboundDriver::new();
     let running = fill_slots(&mut driver, at(0));
     let (expired, _) = driver.arrive(at(0), context(PriorityClass::Normal, 64, at(500)));
     let (waiting, _) = driver.arrive(at(0), context(PriorityClass::Normal, 64, at(60_000)));
     let paused_for = Duration::from_secs(5);
     let effects = driver.event(at(5000), InboundEvent::Resumed { paused_for });
-    assert_eq!(refusal_of(&effects, expired), Some(RefusalReason::Paused));
-    let effects = finish(&mut driver, at(5000), running[0]);
+    assert_eq!(
+        refusal_reason(&effects, expired),
+        Some(RefusalReason::Paused)
+    );
+    let effects = complete_run(&mut driver, at(5000), running[0]);
     assert!(
         !is_run(&effects, waiting),
-        "its cancellation may be on the way"
+        "a queued attempt was started right after a pause"
     );
     driver.event(at(5001), InboundEvent::AttemptCancelled { id: waiting });
     let effects = driver.event(at(5010), InboundEvent::Wake);
@@ -178,21 +201,25 @@
 }
 
 #[test]
-fn leaving_node_refuses_new_and_queued_work_and_finishes_what_runs() {
+fn leaving_node_refuses_new_and_queued_attempts_and_answers_running_ones() {
     let mut driver = InboundDriver::new();
     let running = fill_slots(&mut driver, at(0));
     let (queued, _) = driver.arrive(at(0), context(PriorityClass::Critical, 0, at(9000)));
     let effects = driver.event(at(1), InboundEvent::Leave);
-    assert_eq!(refusal_of(&effects, queued), Some(RefusalReason::Leaving));
+    assert_eq!(
+        refusal_reason(&effects, queued),
+        Some(RefusalReason::Leaving)
+    );
     let (late, effects) = driver.arrive(at(2), context(PriorityClass::Critical, 0, at(9000)));
-    assert_eq!(refusal_of(&effects, late), Some(RefusalReason::Leaving));
-    let effects = finish(&mut driver, at(3), running[0]);
+    assert_eq!(refusal_reason(&effects, late), Some(RefusalReason::Leaving));
+    let effects = complete_run(&mut driver, at(3), running[0]);
     assert!(matches!(effects[0], InboundEffect::Answer { id, .. } if id == running[0]));
 }
 
-/// Feeds a threshold with arrivals of all normal users, a fixed share of which
-/// a window can serve, and returns its level after some windows.
-fn settle(
+/// Feeds a threshold with `demand` arrivals per window, spread over all normal user
+/// priorities, of which a window can serve `capacity`. Returns the level after 60
+/// windows; `from` is the number of the first one.
+fn level_after_windows(
     threshold: &mut admission_threshold::AdmissionThreshold,
     demand: u32,
     capacity: u32,
@@ -207,12 +234,12 @@
             if threshold.level() > level {
                 continue;
             }
-            threshold.arrived(level);
+            threshold.record_arrival(level);
             served += 1;
             if served > capacity {
-                threshold.turned_away();
+                threshold.record_rejection();
             } else {
-                threshold.finished();
+                threshold.record_run_end();
             }
         }
         let running = served.min(capacity) as usize;
@@ -228,12 +255,12 @@
 }
 
 #[test]
-fn threshold_settles_where_demand_fits_and_opens_when_it_falls() {
+fn threshold_converges_to_the_capacity_and_opens_when_demand_falls() {
     let mut threshold = admission_threshold::AdmissionThreshold::default();
-    let overloaded = settle(&mut threshold, 100, 50, 0);
+    let overloaded = level_after_windows(&mut threshold, 100, 50, 0);
     assert!(
         (128 + 50..=128 + 80).contains(&overloaded),
         "level {overloaded}"
     );
-    assert_eq!(settle(&mut threshold, 40, 50, 60), 0);
+    assert_eq!(level_after_windows(&mut threshold, 40, 50, 60), 0);
 }
--- a/crates/coordination/tests/baseline.rs
+++ b/crates/coordination/tests/baseline.rs
@@ -1,4 +1,5 @@
-//! The baselines keep the promises that cost an ordinary mesh nothing.
+//! Tests that the baselines give the guarantees that an ordinary mesh gives at no
+//! cost.
 
 mod support;
 
@@ -17,7 +18,8 @@
     retry_after: Duration::ZERO,
 };
 
-/// What the caller is told when the attempts end one after the other as listed.
+/// The answer to the caller when its attempts end one after the other with the given
+/// results.
 fn answer_after(results: &[AttemptResult]) -> CallAnswer {
     let view = view((1, 0), 3, 0);
     let mut policy = FixedOutbound::static_limits();
@@ -34,7 +36,7 @@
     policy.handle(at(0), &view, arrived, &mut effects);
     for result in results {
         let Some(OutboundEffect::Dispatch { attempt, .. }) = effects.pop() else {
-            panic!("an attempt is sent before {result:?}");
+            panic!("no attempt was sent that could end with {result:?}");
         };
         let answer = AttemptAnswer {
             result: *result,
@@ -46,18 +48,18 @@
     }
     match effects.pop() {
         Some(OutboundEffect::Answer { answer, .. }) => answer,
-        other => panic!("not answered: {other:?}"),
+        other => panic!("the call was not answered; last effect: {other:?}"),
     }
 }
 
 #[test]
-fn refusal_after_an_attempt_that_ran_is_not_called_not_run() {
+fn refusal_after_an_attempt_that_ran_is_not_answered_as_not_run() {
     let answer = answer_after(&[FAILED, REFUSED, REFUSED]);
     assert!(matches!(answer, CallAnswer::Unknown { .. }), "{answer:?}");
 }
 
 #[test]
-fn call_of_which_every_attempt_was_refused_is_not_run() {
+fn call_of_which_every_attempt_was_refused_is_answered_as_not_run() {
     let answer = answer_after(&[REFUSED, REFUSED, REFUSED]);
     assert!(matches!(answer, CallAnswer::NotRun { .. }), "{answer:?}");
 }
--- a/crates/proxy/src/inbound/mod.rs
+++ b/crates/proxy/src/inbound/mod.rs
@@ -59,7 +59,7 @@
     pub patience: Duration,
     /// The request rate limit that the sending node knows for the server, if any.
     pub limit_known_to_sender: Option<RequestRate>,
-    /// Whether the attempt may be redirected or repeated, and the zone that it comes from.
+    /// Whether the attempt may be redirected or retried, and the zone that it comes from.
     pub terms: AttemptTerms,
     /// Which connections to another node the attempt may be sent on.
     pub reuse: Reuse,
@@ -162,7 +162,7 @@
     if let Some(refused) = refusal(node, &attempt) {
         return refused;
     }
-    permission::wait_until_settled(node, &attempt.content).await;
+    permission::wait_for_refusal_delay(node, &attempt.content).await;
     if let Some(refused) = refuse_server_crashing(node, &attempt) {
         return refused;
     }
--- a/crates/proxy/src/node/mod.rs
+++ b/crates/proxy/src/node/mod.rs
@@ -79,14 +79,14 @@
     pub servers: ServerPool,
     /// The server beside this node; none if the snapshot contains none.
     pub own_server: Option<InstanceId>,
-    /// The budgets of repeated and hedged attempts that this node may send.
+    /// The budgets of retried and hedged attempts that this node may send.
     pub budgets: RetryBudgets,
     /// Admission of attempts to the server beside this node.
     pub admission: ServerAdmission,
     /// The requests that run at the server beside this node, to be reported if it crashes.
     pub server_runs: ServerRuns,
     /// Contents of requests that the server beside this node recently ran successfully.
-    pub served_lately: RecentContents,
+    pub recent_successful_runs: RecentContents,
     /// Reports about requests that may crash servers.
     pub suspects: Suspects,
     /// Tenants' keys and rate limits.
@@ -201,7 +201,7 @@
             budgets: RetryBudgets::new(settings.retry_bound),
             admission: ServerAdmission::new(&settings.service, DEFAULT_SERVER_SLOTS),
             server_runs: ServerRuns::default(),
-            served_lately: RecentContents::default(),
+            recent_successful_runs: RecentContents::default(),
             suspects: Suspects::default(),
             tenants: TenantState::default(),
             waiters: HashMap::new(),
--- a/crates/proxy/src/outbound/attempts.rs
+++ b/crates/proxy/src/outbound/attempts.rs
@@ -13,10 +13,10 @@
     AttemptEnd, Call, FinalAnswer, NextStep, NotRunReason, UnknownReason,
 };
 use lifthollow_coordination::mesh::nested_calls;
-use lifthollow_coordination::mesh::poison::suspicion::PROOF;
-use lifthollow_coordination::mesh::retry_budget::{Repeated, RetryBudgets};
+use lifthollow_coordination::mesh::poison::suspicion::PROVING_CRASHES;
+use lifthollow_coordination::mesh::retry_budget::{RetryBudgets, RetryKind};
+use lifthollow_coordination::mesh::server_requirements::{Candidates, ServerRequirements};
 use lifthollow_coordination::mesh::server_selection::Choice;
-use lifthollow_coordination::mesh::server_wanted::{Candidates, Wanted};
 use lifthollow_state::Timestamp;
 use lifthollow_state::mesh::ServerInstance;
 use slog::info;
@@ -52,10 +52,10 @@
     request: &mut RoutedRequest,
     mut call: Call,
 ) -> (&'static str, Response<ProxyBody>) {
-    let ends = node.clock.instant(call.ends()).into();
+    let deadline = node.clock.instant(call.deadline()).into();
     let mut pending: FuturesUnordered<PendingAttempt> = FuturesUnordered::new();
     let mut reuse = Reuse::Any;
-    permission::wait_until_settled(node, &request.content).await;
+    permission::wait_for_refusal_delay(node, &request.content).await;
     let mut watch = match start_attempt(node, request, &mut call, reuse, &mut pending) {
         Ok(watch) => watch,
         Err(answer) => return finish(node, request, answer),
@@ -71,9 +71,9 @@
                 record_crash(node, request, &server, &outcome.end);
                 log_attempt(node, request, &server, &outcome.end);
                 let is_other_in_progress = !pending.is_empty();
-                call.attempt_ended(&server.id, &outcome.end, is_other_in_progress, || may_repeat(node, request))
+                call.attempt_ended(&server.id, &outcome.end, is_other_in_progress, || may_retry(node, request))
             }
-            _ = sleep_until(ends) => NextStep::Finish(call.timed_out(true)),
+            _ = sleep_until(deadline) => NextStep::Finish(call.timed_out(true)),
             finding = watch.check_progress(node, node.names.request_id_of(&request.head.headers)) => {
                 let is_unresponsive = finding != Finding::InProgress;
                 let may_hedge = is_unresponsive
@@ -81,7 +81,7 @@
                     && call.may_hedge()
                     && !request.body.is_spent()
                     && crash_count(node, request) == 0;
-                if !may_hedge || !withdraw_hedge(node, request) {
+                if !may_hedge || !try_take_hedge(node, request) {
                     continue;
                 }
                 if finding == Finding::ConnectionSilent {
@@ -97,7 +97,7 @@
             NextStep::Finish(answer) => answer,
             NextStep::Attempt if request.body.is_spent() => call.give_up(),
             NextStep::Attempt => {
-                permission::wait_until_settled(node, &request.content).await;
+                permission::wait_for_refusal_delay(node, &request.content).await;
                 match start_attempt(node, request, &mut call, reuse, &mut pending) {
                     Ok(next_watch) => {
                         watch = next_watch;
@@ -130,7 +130,7 @@
     /// When the attempt is checked next.
     next_check: Timestamp,
     /// How long the server may be silent before the attempt is checked.
-    silence: Duration,
+    response_timeout: Duration,
     is_nested: bool,
     has_answer_begun: Rc<Cell<bool>>,
 }
@@ -142,21 +142,23 @@
     async fn check_progress(&mut self, node: &Rc<Node>, request_id: &str) -> Finding {
         sleep_until(node.clock.instant(self.next_check).into()).await;
         let now = node.now();
-        let (loses_answers, is_quiet) = {
+        let (loses_answers, is_unresponsive) = {
             let state = node.state.borrow();
             let id = &self.server.id;
-            let is_quiet = state.servers.is_silent(now, id, self.sent, self.is_nested);
-            (state.servers.loses_answers(now, id), is_quiet)
+            let is_unresponsive = state
+                .servers
+                .is_unresponsive(now, id, self.sent, self.is_nested);
+            (state.servers.loses_answers(now, id), is_unresponsive)
         };
         if loses_answers {
-            self.next_check = now + self.silence;
+            self.next_check = now + self.response_timeout;
             return Finding::ServerUnresponsive;
         }
-        let finding = match is_quiet {
+        let finding = match is_unresponsive {
             true => self.probe(node, request_id).await,
             false => Finding::InProgress,
         };
-        self.next_check = node.now() + self.silence;
+        self.next_check = node.now() + self.response_timeout;
         finding
     }
 
@@ -164,7 +166,7 @@
         match probe::send_probe(node, &self.server, Some(request_id)).await {
             Liveness::Alive => Finding::InProgress,
             Liveness::Silent => {
-                probe::set_aside(node, &self.server, "silent");
+                probe::mark_suspect(node, &self.server, "silent");
                 Finding::ServerUnresponsive
             }
             Liveness::AttemptNotFound if self.has_answer_begun.get() => Finding::InProgress,
@@ -193,7 +195,7 @@
     pending: &mut FuturesUnordered<PendingAttempt<'a>>,
 ) -> Result<AttemptWatch, FinalAnswer> {
     let sent = node.now();
-    if sent >= call.ends() {
+    if sent >= call.deadline() {
         return Err(call.timed_out(false));
     }
     let permission = permission::permission(node, &request.route.service, &request.content);
@@ -203,16 +205,18 @@
     let choice = choose_server(node, request, call, &permission).ok_or_else(|| call.give_up())?;
     let server = choice.server;
     let body = request.body.take().ok_or_else(|| call.give_up())?;
-    let silence = {
+    let response_timeout = {
         let mut state = node.state.borrow_mut();
         let service = &request.route.service;
-        match (call.is_new(), request.tree.is_repeat) {
-            (true, false) => state.budgets.deposit(sent, service),
-            (true, true) => state.budgets.inherited(sent, service),
+        match (call.is_new(), request.tree.is_retry) {
+            (true, false) => state.budgets.record_request(sent, service),
+            (true, true) => state.budgets.record_inherited_retry(sent, service),
             (false, _) => {}
         }
-        state.servers.sent(sent, &server.id);
-        state.servers.silence(&server.id, request.tree.is_nested)
+        state.servers.record_attempt_sent(sent, &server.id);
+        state
+            .servers
+            .response_timeout(&server.id, request.tree.is_nested)
     };
     let in_flight = InFlightGuard {
         node,
@@ -222,23 +226,23 @@
         request: outgoing_request(node, request, &server, body),
         content: request.content.clone(),
         server: server.id.clone(),
-        deadline: call.ends(),
+        deadline: call.deadline(),
         tree: CallTreePlace {
-            is_repeat: request.tree.is_repeat || call.is_repeat(),
+            is_retry: request.tree.is_retry || call.is_retry(),
             ..request.tree
         },
-        patience: max_queue_time(request, sent, call.ends()),
+        patience: max_queue_time(request, sent, call.deadline()),
         terms: AttemptTerms {
             zone: node.settings.zone.clone(),
-            may_go_elsewhere: choice.has_alternative && call.may_be_turned_away(),
-            may_repeat: request.route.route.is_idempotent(),
+            has_alternative: choice.has_alternative && call.may_be_refused_by_failing_server(),
+            may_retry: request.route.route.is_idempotent(),
         },
         limit_known_to_sender: node.state.borrow().servers.limit_of(&server.id),
         reuse,
         has_answer_begun: Rc::default(),
     };
     let has_answer_begun = attempt.has_answer_begun.clone();
-    let pause = call.pause_before(&server.id);
+    let pause = call.delay_before(&server.id);
     pending.push(Box::pin(async move {
         if !pause.is_zero() {
             sleep(pause).await;
@@ -249,8 +253,8 @@
     Ok(AttemptWatch {
         server,
         sent,
-        next_check: sent + silence,
-        silence,
+        next_check: sent + response_timeout,
+        response_timeout,
         is_nested: request.tree.is_nested,
         has_answer_begun,
     })
@@ -265,7 +269,7 @@
 impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         let mut state = self.node.state.borrow_mut();
-        state.servers.ended(&self.server.id);
+        state.servers.record_attempt_ended(&self.server.id);
     }
 }
 
@@ -287,14 +291,14 @@
     call.candidates()
         .filter_map(permitted)
         .find_map(|candidates| {
-            let wanted = Wanted {
+            let requirements = ServerRequirements {
                 candidates: &candidates,
-                may_repeat: call.may_repeat(),
+                may_retry: call.may_retry(),
                 purpose,
             };
             state
                 .servers
-                .choose(now, service, wanted, &mut state.random)
+                .choose(now, service, requirements, &mut state.random)
         })
 }
 
@@ -303,16 +307,16 @@
     node.state
         .borrow()
         .suspects
-        .crashes(&request.content.content)
+        .counted_crashes(&request.content.content)
 }
 
 /// Whether another attempt may be sent although a server may have run the request.
 ///
-/// A request that was running during two crashes is not repeated by this node: if it is the cause,
+/// A request that was running during two crashes is not retried by this node: if it is the cause,
 /// its third run proves that, and that run should be its caller's next try rather than one of many
-/// repeats.
-fn may_repeat(node: &Rc<Node>, request: &RoutedRequest) -> bool {
-    crash_count(node, request) + 1 < PROOF && withdraw_repeat(node, request)
+/// retries.
+fn may_retry(node: &Rc<Node>, request: &RoutedRequest) -> bool {
+    crash_count(node, request) + 1 < PROVING_CRASHES && try_take_retry(node, request)
 }
 
 /// Records at this node, without waiting for a report, that the server crashed while it ran this
@@ -331,35 +335,37 @@
     }
 }
 
-fn withdraw_repeat(node: &Rc<Node>, request: &RoutedRequest) -> bool {
-    withdraw_from_budget(node, request, RetryBudgets::withdraw)
+fn try_take_retry(node: &Rc<Node>, request: &RoutedRequest) -> bool {
+    take_from_budget(node, request, RetryBudgets::try_take_retry)
 }
 
-fn withdraw_hedge(node: &Rc<Node>, request: &RoutedRequest) -> bool {
-    withdraw_from_budget(node, request, RetryBudgets::withdraw_for_hedge)
+fn try_take_hedge(node: &Rc<Node>, request: &RoutedRequest) -> bool {
+    take_from_budget(node, request, RetryBudgets::try_take_hedge)
 }
 
-fn withdraw_from_budget(
+fn take_from_budget(
     node: &Rc<Node>,
     request: &RoutedRequest,
-    withdraw: impl FnOnce(&mut RetryBudgets, Timestamp, &str, Repeated) -> bool,
+    try_take: impl FnOnce(&mut RetryBudgets, Timestamp, &str, RetryKind) -> bool,
 ) -> bool {
     let now = node.now();
-    let repeated = match request.tree.is_nested {
-        true => Repeated::NestedCall,
-        false => Repeated::Request,
+    let retry_kind = match request.tree.is_nested {
+        true => RetryKind::NestedCall,
+        false => RetryKind::Request,
     };
     let mut state = node.state.borrow_mut();
-    let is_withdrawn = withdraw(&mut state.budgets, now, &request.route.service, repeated);
-    if is_withdrawn {
-        node.metrics.repeats.inc();
+    let is_taken = try_take(&mut state.budgets, now, &request.route.service, retry_kind);
+    if is_taken {
+        node.metrics.retries.inc();
     }
-    is_withdrawn
+    is_taken
 }
 
-fn max_queue_time(request: &RoutedRequest, now: Timestamp, ends: Timestamp) -> Duration {
+fn max_queue_time(request: &RoutedRequest, now: Timestamp, deadline: Timestamp) -> Duration {
     if request.tree.is_nested {
-        return ends.saturating_since(now).mul_f64(NESTED_QUEUE_FRACTION);
+        return deadline
+            .saturating_since(now)
+            .mul_f64(NESTED_QUEUE_FRACTION);
     }
     let target = request.route.route.target_latency;
     let allowed = target.map_or(DEFAULT_QUEUE_TIME, |target| target.mul_f64(QUEUE_FRACTION));
@@ -372,7 +378,11 @@
         AttemptEnd::Answered => return,
         AttemptEnd::Unknown { .. } => {
             let now = node.now();
-            return node.state.borrow_mut().servers.lost(now, &server.id);
+            return node
+                .state
+                .borrow_mut()
+                .servers
+                .record_lost_answer(now, &server.id);
         }
         AttemptEnd::NotRun { reason, .. } => *reason,
     };
@@ -388,7 +398,7 @@
             let now = node.now();
             let mut state = node.state.borrow_mut();
             if reason == NotRunReason::WrongInstance {
-                state.servers.misdirected(now, &server.id);
+                state.servers.record_misdirected(now, &server.id);
             } else {
                 state.servers.withdraw(&server.id);
             }
@@ -400,7 +410,7 @@
         NotRunReason::NodeUnreachable
         | NotRunReason::NodeLeaving
         | NotRunReason::ServerUnreachable => {
-            probe::set_aside(node, server, peer_headers::not_run_label(reason));
+            probe::mark_suspect(node, server, peer_headers::not_run_label(reason));
         }
     }
 }
