--- a/crates/coordination/src/mesh/admission_queue.rs
+++ b/crates/coordination/src/mesh/admission_queue.rs
@@ -227,7 +227,7 @@
     /// Releases the slot of a request that was admitted but never reached the server. Returns the
     /// tickets of waiting requests that now run.
     pub fn release_unused_slot(&mut self, now: Timestamp) -> Vec<Ticket> {
-        self.rate_limiter.release_unused_slot();
+        self.rate_limiter.return_unused_token();
         self.finish(now, None)
     }
 
--- a/crates/coordination/src/mesh/rate_limits/rate_limiter.rs
+++ b/crates/coordination/src/mesh/rate_limits/rate_limiter.rs
@@ -80,7 +80,7 @@
     }
 
     /// Returns the token of a request that may pass but did not reach the server.
-    pub fn release_unused_slot(&mut self) {
+    pub fn return_unused_token(&mut self) {
         if self.limit.is_some() {
             self.tokens += 1.0;
         }
