--- a/crates/coordination/src/fleet/config/confirmation.rs
+++ b/crates/coordination/src/fleet/config/confirmation.rs
@@ -1,74 +1,84 @@
-//! Asking peers before acting: after the start, and after a pause.
+//! Delays the use of the table after a start or a pause until peers have been
+//! asked whether they have a newer version.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use lifthollow_state::{NodeId, TableVersion, Timestamp};
 
-/// Peers whose answers are enough.
-const PEERS_ASKED: usize = 3;
-/// Without any answer for this long, the node acts on what it has.
-const NO_PEER_BOUND: Duration = Duration::from_secs(2);
-/// With a known newer version that nobody delivers, it waits this long.
-const TRANSFER_BOUND: Duration = Duration::from_secs(10);
+/// Number of answering peers that is enough to confirm the table; fewer if this
+/// node knows fewer peers.
+const REQUIRED_ANSWERS: usize = 3;
+/// If too few peers answer within this time and none of them has a newer version,
+/// the node acts on the table it has.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// If a peer has a newer version but no node delivers it within this time, the
+/// node acts on the table it has.
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Whether the node may act on its table.
+/// Tracks whether this node may act on its table.
 #[derive(Clone, Debug)]
 pub(in crate::fleet) struct Confirmation {
-    since: Timestamp,
-    answered: BTreeSet<NodeId>,
-    newest: TableVersion,
+    started_at: Timestamp,
+    answered_peers: BTreeSet<NodeId>,
+    newest_seen: TableVersion,
     confirmed: bool,
 }
 
 impl Confirmation {
-    /// Nobody was asked yet.
+    /// Starts an unconfirmed state in which no peer has answered yet.
     pub fn new(now: Timestamp) -> Self {
         Confirmation {
-            since: now,
-            answered: BTreeSet::new(),
-            newest: TableVersion::default(),
+            started_at: now,
+            answered_peers: BTreeSet::new(),
+            newest_seen: TableVersion::default(),
             confirmed: false,
         }
     }
 
-    /// Whether the node may act.
+    /// Whether this node may act on its table.
     pub fn is_confirmed(&self) -> bool {
         self.confirmed
     }
 
-    /// A peer that has this version in force has answered.
-    pub fn peer_answered(&mut self, from: NodeId, version: TableVersion) {
+    /// Records that peer `from` answered and has `version` in force.
+    pub fn record_answer(&mut self, from: NodeId, version: TableVersion) {
         if !self.confirmed {
-            self.answered.insert(from);
-            self.newest = self.newest.max(version);
+            self.answered_peers.insert(from);
+            self.newest_seen = self.newest_seen.max(version);
         }
     }
 
-    /// Confirms if enough is known; says then whether any peer answered.
-    /// `at_hand` is the newest version that the node could act on.
-    pub fn settle(
+    /// Confirms the table if enough peers answered or a time limit has passed.
+    /// Returns whether any peer answered, or `None` if nothing was confirmed now.
+    /// `newest_available` is the newest version that this node could act on.
+    pub fn try_confirm(
         &mut self,
         now: Timestamp,
-        at_hand: TableVersion,
+        newest_available: TableVersion,
         known_peers: usize,
     ) -> Option<bool> {
-        if self.confirmed || !self.may_settle(now, at_hand, known_peers) {
+        if self.confirmed || !self.can_confirm(now, newest_available, known_peers) {
             return None;
         }
         self.confirmed = true;
-        Some(!self.answered.is_empty())
+        Some(!self.answered_peers.is_empty())
     }
 
-    fn may_settle(&self, now: Timestamp, at_hand: TableVersion, known_peers: usize) -> bool {
-        let waited = now - self.since;
-        if waited >= TRANSFER_BOUND {
+    fn can_confirm(
+        &self,
+        now: Timestamp,
+        newest_available: TableVersion,
+        known_peers: usize,
+    ) -> bool {
+        let waited = now - self.started_at;
+        if waited >= TRANSFER_TIMEOUT {
             return true;
         }
-        if self.newest > at_hand {
+        if self.newest_seen > newest_available {
             return false;
         }
-        let enough = PEERS_ASKED.min(known_peers.max(1));
-        waited >= NO_PEER_BOUND || self.answered.len() >= enough
+        let required = REQUIRED_ANSWERS.min(known_peers.max(1));
+        waited >= ANSWER_TIMEOUT || self.answered_peers.len() >= required
     }
 }
--- a/crates/coordination/src/fleet/config/mod.rs
+++ b/crates/coordination/src/fleet/config/mod.rs
@@ -1,10 +1,12 @@
-//! Which table is in force, and how it reaches this node.
+//! The configuration table in force on this node, and how tables spread between
+//! nodes.
 //!
-//! - The table only goes forward in the order of [`TableVersion`].
-//! - Every message shows the sender's version; a node that sees a newer one
-//!   pulls the rows that changed ([`pull`], [`pages`]).
-//! - A node that accepts a table pushes the change to a few others at once.
-//! - A fresh or resumed node asks peers before it acts ([`confirmation`]).
+//! - A table is replaced only by one with a higher [`TableVersion`].
+//! - Every message carries the sender's table version; a node that sees a newer
+//!   one pulls the rows that changed ([`pull`], [`pages`]).
+//! - A node that accepts a table immediately pushes the change to a few others.
+//! - A started or resumed node asks peers for newer versions before it acts
+//!   ([`confirmation`]).
 
 mod confirmation;
 mod history;
@@ -25,32 +27,34 @@
 use history::History;
 use pull::{Pull, PullProgress};
 
-/// Pages a node sends in answer to one request.
+/// Maximum number of pages that a node sends in answer to one request.
 const PAGES_PER_REQUEST: u32 = 4;
-/// Pages a second that a node sends to others in the long run.
+/// Long-term limit on the pages per second that a node sends to others.
 const PAGES_PER_SECOND: u32 = 6;
-/// Pages that it may send at once after a quiet time: a whole table of the size
-/// designed for.
+/// Maximum number of pages that a node may send at once after an idle time: a whole
+/// table of the size that the system is designed for.
 const PAGE_BURST: u32 = 32;
-/// All rows are begun for one node in this time, so that it soon has them all and
-/// can pass them on.
+/// Minimum time between the starts of two transfers of all rows, so that the first
+/// receiver soon has all of them and can pass them on.
 const FULL_TRANSFER_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The table in force and the transfer in progress.
+/// The table in force, its change history and the transfer in progress.
 #[derive(Clone, Debug)]
 pub(super) struct Configuration {
     table: Arc<Table>,
-    /// That of `table`, at hand without a look at it.
+    /// Version of `table`, stored so that it need not be read from the table.
     version: TableVersion,
-    /// The newest table that the platform offered, until this node may start.
+    /// The newest table that the platform offered while the table was not
+    /// confirmed; it is accepted on confirmation.
     offered: Option<Arc<Table>>,
     history: History,
     pull: Option<Pull>,
     confirmation: Confirmation,
     page_budget: Budget,
-    /// When all rows may be begun for another node.
+    /// When the next transfer of all rows to another node may start.
     next_full_transfer: Timestamp,
-    /// Versions that operators were told about last, so that they are told once.
+    /// Versions that were last reported to operators, so that each is reported
+    /// once.
     reported: Reported,
 }
 
@@ -61,7 +65,7 @@
 }
 
 impl Configuration {
-    /// Nothing is in force.
+    /// Starts with the empty table, unconfirmed.
     pub fn new() -> Self {
         Configuration {
             table: Arc::default(),
@@ -86,18 +90,20 @@
         self.version
     }
 
-    /// Whether peers were asked since the start or the last pause.
+    /// Whether the table was confirmed since the start or the last pause.
     pub fn is_confirmed(&self) -> bool {
         self.confirmation.is_confirmed()
     }
 
-    /// The process starts, or was paused: peers must be asked again.
-    pub fn doubt(&mut self, now: Timestamp) {
+    /// Withdraws the confirmation after a start or a pause of the process: peers
+    /// must be asked again. A transfer in progress is dropped.
+    pub fn reset_confirmation(&mut self, now: Timestamp) {
         self.confirmation = Confirmation::new(now);
         self.pull = None;
     }
 
-    /// The platform's answer. Before peers were asked it is only kept.
+    /// Handles a table read from the platform. While the table is not confirmed,
+    /// the offered one is only stored. Returns whether it came into force.
     pub fn offer_from_platform(&mut self, table: Arc<Table>, outbox: &mut Outbox) -> bool {
         if !self.is_confirmed() {
             let newest = self.offered.as_ref().map(|offered| offered.version());
@@ -106,26 +112,27 @@
             }
             return false;
         }
-        self.compare(table.version(), outbox);
+        self.report_version_conflict(table.version(), outbox);
         self.report_stale_platform(table.version(), outbox);
         self.accept(table, TableSource::Platform, outbox)
     }
 
     fn report_stale_platform(&mut self, offered: TableVersion, outbox: &mut Outbox) {
         let in_force = self.version;
-        let told = self.reported.stale == Some(offered);
-        if offered.number < in_force.number && !told {
+        let already_reported = self.reported.stale == Some(offered);
+        if offered.number < in_force.number && !already_reported {
             self.reported.stale = Some(offered);
             outbox.report(FleetReport::StalePlatformTable { offered, in_force });
         }
     }
 
-    /// Two tables under one number are an operators' mistake to be shown.
-    fn compare(&mut self, other: TableVersion, outbox: &mut Outbox) {
+    /// Reports two different tables with the same number, which is an operator's
+    /// mistake.
+    fn report_version_conflict(&mut self, other: TableVersion, outbox: &mut Outbox) {
         let ours = self.version;
         let conflicting = other.number == ours.number && other.digest != ours.digest;
-        let told = self.reported.conflicting == Some(other);
-        if conflicting && ours.number > 0 && !told {
+        let already_reported = self.reported.conflicting == Some(other);
+        if conflicting && ours.number > 0 && !already_reported {
             self.reported.conflicting = Some(other);
             outbox.report(FleetReport::ConflictingVersion {
                 kept: ours.max(other),
@@ -134,7 +141,8 @@
         }
     }
 
-    /// A table comes into force only if it is newer than the one in force.
+    /// Puts a table in force if it is newer than the current one. Returns whether
+    /// it was.
     fn accept(&mut self, table: Arc<Table>, source: TableSource, outbox: &mut Outbox) -> bool {
         let version = table.version();
         if version <= self.version {
@@ -148,8 +156,9 @@
         true
     }
 
-    /// A peer's message shows the version in force there.
-    pub fn saw_version(
+    /// Handles the table version that a peer's message carries: starts or repeats
+    /// a pull if that version is newer.
+    pub fn handle_peer_version(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -157,7 +166,7 @@
         outbox: &mut Outbox,
     ) {
         if version.number == self.version.number {
-            self.compare(version, outbox);
+            self.report_version_conflict(version, outbox);
         }
         if version <= self.version {
             return;
@@ -169,8 +178,8 @@
         self.repeat_stalled_pull(now, Some(from), outbox);
     }
 
-    /// The version that is being transferred.
-    pub fn wanted(&self) -> Option<TableVersion> {
+    /// The version that is being pulled, if any.
+    pub fn pull_target(&self) -> Option<TableVersion> {
         self.pull.as_ref().map(Pull::target)
     }
 
@@ -186,13 +195,15 @@
         self.pull = Some(pull);
     }
 
-    /// A peer has answered a probe that was sent since the node began to doubt.
-    pub fn peer_answered(&mut self, from: NodeId, version: TableVersion) {
-        self.confirmation.peer_answered(from, version);
+    /// Records a peer's answer to a probe that was sent since the confirmation was
+    /// withdrawn.
+    pub fn record_peer_answer(&mut self, from: NodeId, version: TableVersion) {
+        self.confirmation.record_answer(from, version);
     }
 
-    /// Looks after a transfer that stalls, and after the start. `peer` is one to
-    /// ask next, `known_peers` the count of nodes that could answer.
+    /// Repeats the request of a stalled pull and tries to confirm the table. `peer`
+    /// is the node to ask next, `known_peers` the number of nodes that could
+    /// answer. Returns whether a table came into force.
     pub fn tick(
         &mut self,
         now: Timestamp,
@@ -201,7 +212,7 @@
         outbox: &mut Outbox,
     ) -> bool {
         self.repeat_stalled_pull(now, peer, outbox);
-        self.settle(now, known_peers, outbox)
+        self.try_confirm(now, known_peers, outbox)
     }
 
     fn repeat_stalled_pull(&mut self, now: Timestamp, peer: Option<NodeId>, outbox: &mut Outbox) {
@@ -211,27 +222,31 @@
             return;
         }
         if let Some(peer) = peer.filter(|_| pull.is_stalled(now)) {
-            pull.repeat(now);
+            pull.record_request(now);
             outbox.send(peer, FleetBody::TableRequest(pull.request()));
         }
     }
 
-    /// Begins to act once enough peers were asked.
-    pub fn settle(&mut self, now: Timestamp, known_peers: usize, outbox: &mut Outbox) -> bool {
+    /// Confirms the table once enough peers answered or a time limit has passed,
+    /// and then accepts the table that the platform offered. Returns whether that
+    /// came into force.
+    pub fn try_confirm(&mut self, now: Timestamp, known_peers: usize, outbox: &mut Outbox) -> bool {
         let offered = self.offered.as_ref().map(|offered| offered.version());
-        let at_hand = offered.unwrap_or_default().max(self.version);
-        let settled = self.confirmation.settle(now, at_hand, known_peers);
-        let Some(asked) = settled else { return false };
+        let newest_available = offered.unwrap_or_default().max(self.version);
+        let result = self
+            .confirmation
+            .try_confirm(now, newest_available, known_peers);
+        let Some(answered) = result else { return false };
         let Some(table) = self.offered.take() else {
             return false;
         };
-        if !asked {
+        if !answered {
             outbox.report(FleetReport::StartedWithoutPeers);
         }
         self.accept(table, TableSource::Platform, outbox)
     }
 
-    /// A peer asks for rows.
+    /// Answers a peer's request for rows with as many pages as the budget allows.
     pub fn answer_request(
         &mut self,
         now: Timestamp,
@@ -242,28 +257,28 @@
         if self.version < request.want {
             return;
         }
-        let begins_all_rows = request.after.is_none() && !self.history.covers(request.have);
-        if begins_all_rows && !self.may_serve_all_rows(now) {
+        let starts_full_transfer = request.after.is_none() && !self.history.covers(request.have);
+        if starts_full_transfer && !self.try_start_full_transfer(now) {
             return;
         }
-        let wanted = pages::pages(&self.table, &self.history, request);
+        let wanted_pages = pages::pages(&self.table, &self.history, request);
         let granted = self.page_budget.take(now, PAGES_PER_REQUEST);
-        for page in wanted.take(granted as usize) {
+        for page in wanted_pages.take(granted as usize) {
             outbox.send(from, FleetBody::TablePage(page));
         }
     }
 
-    fn may_serve_all_rows(&mut self, now: Timestamp) -> bool {
-        let may = now >= self.next_full_transfer;
-        if may {
+    fn try_start_full_transfer(&mut self, now: Timestamp) -> bool {
+        let allowed = now >= self.next_full_transfer;
+        if allowed {
             self.next_full_transfer = now + FULL_TRANSFER_INTERVAL;
         }
-        may
+        allowed
     }
 
-    /// A page came in: pushed, or in answer to a request. True if a table came
-    /// into force by it.
-    pub fn take_page(
+    /// Handles a received page, which was pushed or answers a request. Returns
+    /// whether it brought a table into force.
+    pub fn handle_page(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -277,18 +292,18 @@
         let pull = self
             .pull
             .get_or_insert_with(|| Pull::new(have, page.target, now));
-        match pull.take_page(now, page) {
+        match pull.add_page(now, page) {
             PullProgress::Waiting => false,
             PullProgress::RequestMore => {
                 let request = pull.request();
                 outbox.send(from, FleetBody::TableRequest(request));
                 false
             }
-            PullProgress::Complete => self.finish_pull(now, from, outbox),
+            PullProgress::Complete => self.complete_pull(now, from, outbox),
         }
     }
 
-    fn finish_pull(&mut self, now: Timestamp, from: NodeId, outbox: &mut Outbox) -> bool {
+    fn complete_pull(&mut self, now: Timestamp, from: NodeId, outbox: &mut Outbox) -> bool {
         let Some(pull) = self.pull.take() else {
             return false;
         };
@@ -325,7 +340,8 @@
         self.pull = Some(pull);
     }
 
-    /// The change that brought the table in force, if it fits into one datagram.
+    /// The change from the previous table to the one in force, if it fits into one
+    /// datagram.
     pub fn latest_change(&self) -> Option<TablePage> {
         let request = TableRequest {
             have: self.history.latest_base()?,
@@ -336,7 +352,7 @@
         pages.next().filter(|page| page.last && page.base.is_some())
     }
 
-    /// Bytes of the table and its history.
+    /// Memory used by the table and its history, in bytes.
     pub fn state_bytes(&self) -> usize {
         pages::table_bytes(&self.table) + self.history.state_bytes()
     }
--- a/crates/coordination/src/fleet/config/pages.rs
+++ b/crates/coordination/src/fleet/config/pages.rs
@@ -1,4 +1,4 @@
-//! The pages that a node sends in answer to a request for rows.
+//! Builds the pages that answer a request for table rows.
 
 use std::mem::size_of;
 
@@ -9,11 +9,11 @@
 
 use super::history::History;
 
-/// Room for the envelope and the header of the message around a page.
+/// Bytes reserved in a datagram for the message envelope and header around a page.
 const ENVELOPE_BYTES: usize = 64;
 const MAX_PAGE_BYTES: usize = MAX_DATAGRAM_BYTES - DATAGRAM_HEADER_BYTES - ENVELOPE_BYTES;
 
-/// A row to be sent, or the key of one to be removed.
+/// One item of a page: a row to set, or the key of a row to remove.
 enum Entry<'a> {
     Row(&'a TableRow),
     Removed(&'a RowKey),
@@ -35,8 +35,9 @@
     }
 }
 
-/// The pages from the request's place to the end: the rows that changed since
-/// the asking node's version if that is remembered, else all rows.
+/// The pages that follow the key `request.after`, up to the last row. They hold the
+/// rows that changed since `request.have` if the history covers that version, else
+/// all rows.
 pub(super) fn pages<'a>(
     table: &'a Table,
     history: &'a History,
@@ -53,19 +54,19 @@
         .filter(|entry| is_after(entry, request.after.as_ref()))
         .peekable();
     let mut after = request.after.clone();
-    let mut ended = false;
+    let mut finished = false;
     std::iter::from_fn(move || {
-        if ended {
+        if finished {
             return None;
         }
         let mut page = TablePage::empty(base, table.version(), after.clone());
         let mut bytes = encoded_length(&page);
-        while let Some(entry) = remaining.next_if(|entry| fits(entry, &mut bytes)) {
+        while let Some(entry) = remaining.next_if(|entry| reserve_space(entry, &mut bytes)) {
             entry.add_to(&mut page);
         }
         after = page.last_key().or(after.take());
         page.last = remaining.peek().is_none();
-        ended = page.last;
+        finished = page.last;
         Some(page)
     })
 }
@@ -81,8 +82,9 @@
     }
 }
 
-/// Whether the entry still fits into the page; if so, its bytes are counted.
-fn fits(entry: &Entry<'_>, bytes: &mut usize) -> bool {
+/// Adds the encoded length of the entry to `bytes` and returns whether the page
+/// still has room for it.
+fn reserve_space(entry: &Entry<'_>, bytes: &mut usize) -> bool {
     let added = match entry {
         Entry::Row(row) => encoded_length(&RowKey::of(row)) + ROW_VALUE_BYTES,
         Entry::Removed(key) => encoded_length(*key),
@@ -91,11 +93,11 @@
     *bytes <= MAX_PAGE_BYTES
 }
 
-/// Upper bound of a row's encoded values besides its key: array head, four
-/// 32-bit numbers, class, flag and a 64-bit number.
+/// Upper bound in bytes of a row's encoded values without its key: array header,
+/// four 32-bit numbers, class, flag and a 64-bit number.
 const ROW_VALUE_BYTES: usize = 1 + 4 * 5 + 1 + 1 + 9;
 
-/// Bytes of a table in memory, for capacity planning.
+/// Estimated memory used by a table, in bytes, for capacity planning.
 pub(super) fn table_bytes(table: &Table) -> usize {
     const TREE_OVERHEAD: usize = 16;
     const NAME_BYTES: usize = 32;
--- a/crates/coordination/src/fleet/config/pull.rs
+++ b/crates/coordination/src/fleet/config/pull.rs
@@ -1,34 +1,36 @@
-//! A transfer of rows from peers in progress.
+//! The state of a transfer of table rows from peers to this node.
 
 use std::time::Duration;
 
 use lifthollow_protocol::control::{RowKey, TablePage, TableRequest};
 use lifthollow_state::{Table, TableRow, TableVersion, Timestamp};
 
-/// A request without an answer for this long is repeated to another peer.
-const STALLED_AFTER: Duration = Duration::from_millis(400);
-/// A transfer that nobody serves any more is dropped; the next contact with a
-/// node that has a newer version begins another.
-const ABANDONED_AFTER: Duration = Duration::from_secs(30);
-/// Requests that follow from pages of an unexpected kind are this far apart.
-const REQUEST_SPACING: Duration = Duration::from_millis(100);
-/// Pages that are kept while one before them is missing.
-const EARLY_PAGES_KEPT: usize = 8;
-/// Pages that answer one request.
+/// A request that brought no page for this long is repeated to another peer.
+const STALL_TIMEOUT: Duration = Duration::from_millis(400);
+/// A transfer that received no page for this long is dropped; the next message from
+/// a node that has a newer version starts another.
+const ABANDON_TIMEOUT: Duration = Duration::from_secs(30);
+/// Minimum time between requests that are repeated because of missing pages.
+const MIN_REPEAT_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of out-of-order pages that are buffered while an earlier one is
+/// missing.
+const MAX_BUFFERED_PAGES: usize = 8;
+/// Number of pages that answer one request; after as many, the next are requested.
 const PAGES_PER_REQUEST: u32 = 4;
 
-/// What is to be done after a page.
+/// What the caller has to do after a received page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PullProgress {
-    /// More pages of the same answer are under way, or the page was of no use.
+    /// Nothing: more pages of the same answer are in transit, or the page was not
+    /// usable.
     Waiting,
-    /// The next pages are to be asked for.
+    /// Request the next pages.
     RequestMore,
-    /// All rows are there.
+    /// Build the table, because all rows have arrived.
     Complete,
 }
 
-/// Rows collected on the way to a version.
+/// Rows collected so far for the version that is transferred.
 #[derive(Clone, Debug)]
 pub(super) struct Pull {
     have: TableVersion,
@@ -37,15 +39,15 @@
     after: Option<RowKey>,
     rows: Vec<TableRow>,
     removed: Vec<RowKey>,
-    /// Pages that overtook others.
-    early: Vec<TablePage>,
+    /// Pages that arrived before an earlier page of the sequence.
+    buffered: Vec<TablePage>,
     pages_since_request: u32,
-    requested: Timestamp,
-    progressed: Timestamp,
+    requested_at: Timestamp,
+    progressed_at: Timestamp,
 }
 
 impl Pull {
-    /// A transfer that has not received anything.
+    /// Starts a transfer from version `have` to version `want` without any rows.
     pub fn new(have: TableVersion, want: TableVersion, now: Timestamp) -> Self {
         Pull {
             have,
@@ -54,10 +56,10 @@
             after: None,
             rows: Vec::new(),
             removed: Vec::new(),
-            early: Vec::new(),
+            buffered: Vec::new(),
             pages_since_request: 0,
-            requested: now,
-            progressed: now,
+            requested_at: now,
+            progressed_at: now,
         }
     }
 
@@ -66,12 +68,12 @@
         self.want
     }
 
-    /// Whether the rows are changes to a base, not all rows.
+    /// Whether the transferred rows are changes to a base version and not all rows.
     pub fn is_incremental(&self) -> bool {
         self.base.is_some()
     }
 
-    /// What is to be asked for next.
+    /// The request for the pages that follow the rows received so far.
     pub fn request(&self) -> TableRequest {
         TableRequest {
             have: self.have,
@@ -82,24 +84,25 @@
 
     /// Whether the request should be repeated.
     pub fn is_stalled(&self, now: Timestamp) -> bool {
-        now - self.requested.max(self.progressed) >= STALLED_AFTER
+        now - self.requested_at.max(self.progressed_at) >= STALL_TIMEOUT
     }
 
-    /// Whether nothing has come for so long that the transfer is given up.
+    /// Whether no page arrived for so long that the transfer is given up.
     pub fn is_abandoned(&self, now: Timestamp) -> bool {
-        now - self.progressed >= ABANDONED_AFTER
+        now - self.progressed_at >= ABANDON_TIMEOUT
     }
 
-    /// The request is being repeated.
-    pub fn repeat(&mut self, now: Timestamp) {
-        self.requested = now;
+    /// Records that a request is sent now.
+    pub fn record_request(&mut self, now: Timestamp) {
+        self.requested_at = now;
         self.pages_since_request = 0;
     }
 
-    /// Takes in a page if it continues what is there.
-    pub fn take_page(&mut self, now: Timestamp, page: TablePage) -> PullProgress {
-        let other_base = page.target == self.want && page.base != self.base;
-        if page.target > self.want || self.is_empty() && other_base {
+    /// Appends the rows of a page if it follows the rows received so far. A later
+    /// page is buffered; a page of a newer version restarts the transfer.
+    pub fn add_page(&mut self, now: Timestamp, page: TablePage) -> PullProgress {
+        let base_differs = page.target == self.want && page.base != self.base;
+        if page.target > self.want || self.is_empty() && base_differs {
             self.restart(now, &page);
         }
         if page.target != self.want || page.base != self.base || page.after < self.after {
@@ -107,43 +110,47 @@
         }
         self.pages_since_request += 1;
         if page.after > self.after {
-            self.keep_early(page);
+            self.buffer_page(page);
             return self.repeat_if_gap(now);
         }
         let mut last = self.append(now, page);
-        while let Some(next) = self.next_early() {
+        while let Some(next) = self.take_next_buffered() {
             last = self.append(now, next);
         }
         match last {
             true => PullProgress::Complete,
             false if self.pages_since_request >= PAGES_PER_REQUEST => {
-                self.repeat(now);
+                self.record_request(now);
                 PullProgress::RequestMore
             }
             false => PullProgress::Waiting,
         }
     }
 
-    fn keep_early(&mut self, page: TablePage) {
-        let known = self.early.iter().any(|early| early.after == page.after);
-        if !known && self.early.len() < EARLY_PAGES_KEPT {
-            self.early.push(page);
+    fn buffer_page(&mut self, page: TablePage) {
+        let is_buffered = self
+            .buffered
+            .iter()
+            .any(|buffered| buffered.after == page.after);
+        if !is_buffered && self.buffered.len() < MAX_BUFFERED_PAGES {
+            self.buffered.push(page);
         }
     }
 
-    fn next_early(&mut self) -> Option<TablePage> {
+    fn take_next_buffered(&mut self) -> Option<TablePage> {
         let after = &self.after;
-        let next = self.early.iter().position(|page| page.after == *after)?;
-        Some(self.early.swap_remove(next))
+        let next = self.buffered.iter().position(|page| page.after == *after)?;
+        Some(self.buffered.swap_remove(next))
     }
 
-    /// A page before this one is late or lost.
+    /// Requests the missing pages again if a whole answer has arrived with a gap
+    /// and the last request is not too recent.
     fn repeat_if_gap(&mut self, now: Timestamp) -> PullProgress {
-        let whole_answer = self.pages_since_request >= PAGES_PER_REQUEST;
-        if !whole_answer || now - self.requested < REQUEST_SPACING {
+        let answer_complete = self.pages_since_request >= PAGES_PER_REQUEST;
+        if !answer_complete || now - self.requested_at < MIN_REPEAT_INTERVAL {
             return PullProgress::Waiting;
         }
-        self.repeat(now);
+        self.record_request(now);
         PullProgress::RequestMore
     }
 
@@ -151,25 +158,26 @@
         self.after.is_none()
     }
 
-    /// Begins anew for the version and base of `page`.
+    /// Discards all rows and starts again for the version and base of `page`. The
+    /// time of the last request is kept.
     fn restart(&mut self, now: Timestamp, page: &TablePage) {
-        let requested = self.requested;
+        let requested_at = self.requested_at;
         *self = Pull::new(self.have, page.target, now);
-        self.requested = requested;
+        self.requested_at = requested_at;
         self.base = page.base;
     }
 
-    /// Takes over the page's rows; says whether it was the last one.
+    /// Appends the page's rows; returns whether it was the last page.
     fn append(&mut self, now: Timestamp, page: TablePage) -> bool {
         self.rows.extend(page.rows());
         self.after = page.last_key().or(self.after.take());
         self.removed.extend(page.removed);
-        self.progressed = now;
+        self.progressed_at = now;
         page.last
     }
 
-    /// The resulting table, whose version the caller compares with the target;
-    /// none if the base is no longer in force.
+    /// Builds the resulting table, whose version the caller must compare with the
+    /// target. Returns `None` if the base version is no longer in force.
     pub fn build(self, in_force: &Table) -> Option<Table> {
         let number = self.want.number;
         if self.base.is_none() {
--- a/crates/coordination/src/fleet/leaving/mod.rs
+++ b/crates/coordination/src/fleet/leaving/mod.rs
@@ -1,8 +1,10 @@
-//! A node that leaves: by a planned stop, or because the platform lists it.
+//! Announces that this node leaves the fleet, because of a planned stop or because
+//! the platform lists it as leaving.
 //!
-//! The node tells several others at once, each of which tells several more, so
-//! that callers stop within a second or two. Whoever is not reached by that and
-//! still sends work is refused by the leaving node itself, as not run.
+//! The node immediately informs several others, each of which informs several more,
+//! so that callers stop sending work within a second or two. A caller that was not
+//! informed and still sends work is refused by the leaving node, which reports the
+//! work as not run.
 
 use lifthollow_protocol::control::{MemberRecord, MemberStatus};
 use lifthollow_state::{Incarnation, Timestamp};
@@ -11,25 +13,26 @@
 use super::membership::member::Listing;
 use super::outbox::Outbox;
 
-/// Nodes told at once by the leaving node itself.
+/// Number of nodes that the leaving node itself informs immediately.
 const FANOUT: usize = 8;
 
-/// Whether this node leaves, and why.
+/// Whether a planned stop of this node has begun.
 #[derive(Debug, Default)]
 pub(super) struct Leaving {
     planned_stop: bool,
 }
 
 impl Leaving {
-    /// A planned stop has begun. It is not undone in this life of the node.
-    pub fn stop(&mut self, now: Timestamp, membership: &mut Membership, outbox: &mut Outbox) {
+    /// Begins a planned stop, which is never undone while this process runs.
+    pub fn begin_stop(&mut self, now: Timestamp, membership: &mut Membership, outbox: &mut Outbox) {
         self.planned_stop = true;
         membership.announce_leaving(now, outbox);
     }
 
-    /// How the platform's list, which lags, shows this node: before and now. A
-    /// node that is no longer listed as leaving takes work again.
-    pub fn listed(
+    /// Handles how the platform's list, which lags, showed this node before and
+    /// shows it now. A node that is no longer listed as leaving takes work again,
+    /// unless a planned stop has begun.
+    pub fn handle_own_listing(
         &self,
         now: Timestamp,
         (before, listing): (Listing, Listing),
@@ -48,7 +51,7 @@
 }
 
 impl Membership {
-    /// Whether this node takes new work.
+    /// Whether this node takes new work, which it does unless it leaves.
     pub fn takes_new_work(&self) -> bool {
         self.own()
             .is_some_and(|own| own.status == MemberStatus::Alive)
@@ -59,7 +62,7 @@
             return;
         };
         let status = MemberStatus::Leaving;
-        self.announce_urgently(now, MemberRecord { status, ..own }, outbox);
+        self.announce_immediately(now, MemberRecord { status, ..own }, outbox);
     }
 
     fn announce_return(&mut self, now: Timestamp, outbox: &mut Outbox) {
@@ -71,10 +74,10 @@
             status: MemberStatus::Alive,
             ..own
         };
-        self.announce_urgently(now, record, outbox);
+        self.announce_immediately(now, record, outbox);
     }
 
-    fn announce_urgently(&mut self, now: Timestamp, own: MemberRecord, outbox: &mut Outbox) {
+    fn announce_immediately(&mut self, now: Timestamp, own: MemberRecord, outbox: &mut Outbox) {
         self.announce(now, own.clone());
         self.tell_at_once(own, FANOUT, outbox);
     }
--- a/crates/coordination/src/fleet/mod.rs
+++ b/crates/coordination/src/fleet/mod.rs
@@ -162,7 +162,9 @@
             FleetEvent::Message { from, message } => {
                 self.receive(now, from, message, &mut outbox);
             }
-            FleetEvent::Leave => self.leaving.stop(now, &mut self.membership, &mut outbox),
+            FleetEvent::Leave => self
+                .leaving
+                .begin_stop(now, &mut self.membership, &mut outbox),
             FleetEvent::Wake => self.wake(now, &mut outbox, effects),
         }
         self.refresh_directory();
@@ -176,7 +178,7 @@
     fn notice_pause(&mut self, now: Timestamp, outbox: &mut Outbox) {
         let Some(expected) = self.next_tick else {
             self.next_tick = Some(now);
-            self.configuration.doubt(now);
+            self.configuration.reset_confirmation(now);
             return;
         };
         let paused_for = now - expected;
@@ -186,7 +188,7 @@
         outbox.report(FleetReport::Paused { paused_for });
         self.next_tick = Some(now);
         self.membership.doubt(now);
-        self.configuration.doubt(now);
+        self.configuration.reset_confirmation(now);
     }
 
     fn wake(&mut self, now: Timestamp, outbox: &mut Outbox, effects: &mut Vec<FleetEffect>) {
@@ -212,7 +214,7 @@
             .random_range(1.0 - TICK_JITTER..1.0 + TICK_JITTER);
         self.next_tick = Some(now + TICK.mul_f64(jitter));
         self.membership.tick(now, outbox);
-        let peer = match self.configuration.wanted() {
+        let peer = match self.configuration.pull_target() {
             Some(version) => self.membership.peer_with_table(version),
             None => None,
         };
@@ -235,7 +237,8 @@
         let members = self.membership.known_peers();
         self.list_poll.succeeded(change.news, members);
         if let Some(own) = change.own {
-            self.leaving.listed(now, own, &mut self.membership, outbox);
+            self.leaving
+                .handle_own_listing(now, own, &mut self.membership, outbox);
         }
         if !self.is_confirmed() && known_before == 0 {
             self.membership.ask_peers(outbox);
@@ -258,7 +261,7 @@
         self.membership.heard(now, from, &header, outbox);
         self.receive_body(now, from, &header, body, outbox);
         self.configuration
-            .saw_version(now, from, header.table, outbox);
+            .handle_peer_version(now, from, header.table, outbox);
     }
 
     fn receive_body(
@@ -296,7 +299,7 @@
                     .answer_request(now, from, &request, outbox);
             }
             FleetBody::TablePage(page) => {
-                let accepted = self.configuration.take_page(now, from, page, outbox);
+                let accepted = self.configuration.handle_page(now, from, page, outbox);
                 self.table_changed(accepted, outbox);
             }
         }
@@ -313,9 +316,9 @@
         if !trusted || self.is_confirmed() {
             return;
         }
-        self.configuration.peer_answered(from, header.table);
+        self.configuration.record_peer_answer(from, header.table);
         let known_peers = self.membership.known_peers();
-        let accepted = self.configuration.settle(now, known_peers, outbox);
+        let accepted = self.configuration.try_confirm(now, known_peers, outbox);
         self.table_changed(accepted, outbox);
     }
 
--- a/crates/coordination/tests/fleet_configuration.rs
+++ b/crates/coordination/tests/fleet_configuration.rs
@@ -1,4 +1,5 @@
-//! The table only goes forward, on every node, whatever is late, lost or stale.
+//! Tests that no node replaces its table by an older version and that all nodes
+//! converge on the newest one despite loss, delay, pauses and stale answers.
 
 mod fleet_network;
 
@@ -24,7 +25,7 @@
 }
 
 #[test]
-fn a_version_seen_by_one_node_comes_into_force_on_all() {
+fn a_table_fetched_by_one_node_comes_into_force_on_all_despite_loss() {
     let mut network = Network::settled(NODES, ZONES, &table(1, 50));
     network.loss = 0.05;
     network.tables.clear();
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn a_node_that_wakes_late_takes_the_newer_table_before_it_may_act() {
+fn a_resumed_node_accepts_the_newer_table_before_it_is_confirmed() {
     let mut network = Network::settled(NODES, ZONES, &table(1, 50));
     network.pause(3, Duration::from_secs(30));
     for number in (1..=NODES).filter(|number| *number != 3) {
@@ -42,14 +43,18 @@
     }
     network.run(Duration::from_millis(29_900));
     assert_eq!(network.fleet(3).table_version().number, 1);
-    let mut confirmed_on_old = false;
+    let mut confirmed_on_old_table = false;
     for _ in 0..200 {
         network.run(Duration::from_millis(10));
         let fleet = network.fleet(3);
         let resumed = network.reported(|report| matches!(report, FleetReport::Paused { .. })) > 0;
-        confirmed_on_old |= resumed && fleet.is_confirmed() && fleet.table_version().number == 1;
+        confirmed_on_old_table |=
+            resumed && fleet.is_confirmed() && fleet.table_version().number == 1;
     }
-    assert!(!confirmed_on_old, "acted on the old table after waking");
+    assert!(
+        !confirmed_on_old_table,
+        "acted on the old table after the pause"
+    );
     assert!(network.fleet(3).is_confirmed());
     assert_eq!(network.fleet(3).table_version().number, 2);
 }
@@ -64,13 +69,13 @@
     for _ in 0..500 {
         network.run(Duration::from_millis(10));
         let number = network.fleet(4).table_version().number;
-        assert!(number == 0 || number == 7, "began on version {number}");
+        assert!(number == 0 || number == 7, "put version {number} in force");
     }
     assert_eq!(network.fleet(4).table_version().number, 7);
 }
 
 #[test]
-fn a_fresh_node_without_peers_begins_on_the_platforms_answer_within_the_bound() {
+fn a_started_node_without_peers_accepts_the_platform_table_after_the_timeout() {
     let mut network = Network::new(NODES, ZONES);
     network.tables.insert(node(4), table(3, 10));
     network.start(4, ZONES, 1);
@@ -83,7 +88,7 @@
 }
 
 #[test]
-fn a_stale_platform_is_reported_once_and_not_followed() {
+fn a_stale_platform_table_is_reported_once_and_not_accepted() {
     let mut network = Network::settled(NODES, ZONES, &table(9, 50));
     network.tables.insert(node(1), table(8, 10));
     network.run(Duration::from_secs(30));
@@ -93,7 +98,7 @@
 }
 
 #[test]
-fn one_number_with_two_contents_has_the_same_winner_on_every_node() {
+fn of_two_tables_with_one_number_every_node_keeps_the_same_one() {
     let mut network = Network::settled(NODES, ZONES, &table(1, 50));
     let (first, second) = (table(2, 60), table(2, 70));
     let winner = first.version().max(second.version());
@@ -108,7 +113,7 @@
 }
 
 #[test]
-fn sides_of_a_cut_accept_different_versions_and_the_newer_holds_after_it_heals() {
+fn a_partitioned_fleet_converges_on_the_newer_version_after_it_heals() {
     let mut network = Network::settled(NODES, ZONES, &table(1, 50));
     network.cut = Box::new(|from, to| (from <= node(6)) != (to <= node(6)));
     for number in 1..=6 {
@@ -127,7 +132,7 @@
 }
 
 #[test]
-fn a_change_that_does_not_amount_to_its_digest_is_discarded_and_all_rows_are_asked_for() {
+fn a_change_with_a_wrong_digest_is_discarded_and_all_rows_are_requested() {
     let mut network = Network::settled(NODES, ZONES, &table(1, 50));
     network.tamper = Some(Box::new(|_, to, message| {
         let ControlMessage::Fleet(FleetMessage { body, .. }) = message else {
@@ -150,7 +155,7 @@
     assert_eq!(network.fleet(2).table_version(), table(2, 60).version());
 }
 
-/// A table of about 14 pages.
+/// A table whose rows fill about 14 pages.
 fn large_table(number: u64) -> Arc<Table> {
     let rows = (0..400).map(|service| {
         let mut row = row(0, 50);
@@ -161,7 +166,7 @@
 }
 
 #[test]
-fn a_table_of_many_pages_reaches_a_fresh_node_despite_loss() {
+fn a_table_of_many_pages_reaches_a_started_node_despite_loss() {
     let large = large_table(5);
     let mut network = Network::settled(NODES, ZONES, &large);
     network.loss = 0.1;
--- a/crates/coordination/tests/fleet_leaving.rs
+++ b/crates/coordination/tests/fleet_leaving.rs
@@ -1,4 +1,5 @@
-//! A leaving back end gets no new work after a few seconds, list or no list.
+//! Tests that a leaving node gets no new work after a few seconds, whether or not
+//! the platform's list shows it as leaving.
 
 mod fleet_network;
 
@@ -10,20 +11,20 @@
 
 const NODES: u64 = 24;
 const ZONES: u64 = 3;
-const BOUND: Duration = Duration::from_secs(3);
+const CONVERGENCE: Duration = Duration::from_secs(3);
 
-fn settled() -> Network {
+fn settled_network() -> Network {
     Network::settled(NODES, ZONES, &table(1, 50))
 }
 
-fn still_serving_at(network: &Network, number: u64) -> usize {
+fn observers_seeing_serving(network: &Network, number: u64) -> usize {
     let observers = (1..=NODES).filter(|observer| *observer != number);
     observers
         .filter(|observer| network.state(*observer, number) == Some(ServerState::Serving))
         .count()
 }
 
-fn list_as_leaving(network: &mut Network, number: u64, leaving: bool) {
+fn set_listed_as_leaving(network: &mut Network, number: u64, leaving: bool) {
     let machines = network.machines.as_mut().expect("listed");
     for machine in machines
         .iter_mut()
@@ -34,27 +35,27 @@
 }
 
 #[test]
-fn a_planned_stop_is_known_everywhere_within_the_bound_although_the_list_lags() {
-    let mut network = settled();
+fn a_planned_stop_reaches_all_nodes_in_time_although_the_list_lags() {
+    let mut network = settled_network();
     network.loss = 0.05;
     network.tell(5, FleetEvent::Leave);
     assert!(!network.fleet(5).takes_new_work());
-    network.run(BOUND);
-    assert_eq!(still_serving_at(&network, 5), 0);
+    network.run(CONVERGENCE);
+    assert_eq!(observers_seeing_serving(&network, 5), 0);
 }
 
 #[test]
-fn a_node_listed_as_leaving_takes_no_new_work_within_the_bound() {
-    let mut network = settled();
-    list_as_leaving(&mut network, 5, true);
-    network.run(BOUND);
-    assert_eq!(still_serving_at(&network, 5), 0);
+fn a_node_listed_as_leaving_gets_no_new_work_in_time() {
+    let mut network = settled_network();
+    set_listed_as_leaving(&mut network, 5, true);
+    network.run(CONVERGENCE);
+    assert_eq!(observers_seeing_serving(&network, 5), 0);
     assert!(!network.fleet(5).takes_new_work());
 }
 
 #[test]
-fn nodes_that_cannot_read_the_list_are_told_by_those_that_can() {
-    let mut network = settled();
+fn nodes_that_cannot_read_the_list_learn_of_leaving_from_those_that_can() {
+    let mut network = settled_network();
     let listed = network.machines.take();
     network.run(Duration::from_secs(5));
     let mut machines = listed.expect("listed");
@@ -65,49 +66,49 @@
         machine.leaving = true;
     }
     network.tell(9, FleetEvent::MachinesFetched(Ok(machines)));
-    network.run(BOUND);
-    assert_eq!(still_serving_at(&network, 5), 0);
+    network.run(CONVERGENCE);
+    assert_eq!(observers_seeing_serving(&network, 5), 0);
     assert!(!network.fleet(5).takes_new_work());
 }
 
 #[test]
-fn a_leaving_node_that_nobody_hears_refuses_new_work_itself_at_once() {
-    let mut network = settled();
+fn a_leaving_node_whose_messages_are_lost_immediately_refuses_new_work() {
+    let mut network = settled_network();
     network.cut = Box::new(|from, _| from == node(5));
     network.tell(5, FleetEvent::Leave);
     assert!(!network.fleet(5).takes_new_work());
 }
 
 #[test]
-fn both_sides_of_a_cut_stop_using_a_node_that_leaves_on_one_of_them() {
-    let mut network = settled();
+fn both_sides_of_a_partition_stop_using_a_node_that_leaves() {
+    let mut network = settled_network();
     let in_zone_zero = |node| fleet_network::zone(node, ZONES) == 0;
     network.cut = Box::new(move |from, to| in_zone_zero(from) != in_zone_zero(to));
     network.run(Duration::from_secs(15));
     network.tell(6, FleetEvent::Leave);
-    network.run(BOUND);
-    assert_eq!(still_serving_at(&network, 6), 0);
+    network.run(CONVERGENCE);
+    assert_eq!(observers_seeing_serving(&network, 6), 0);
     network.cut = Box::new(|_, _| false);
-    network.run(BOUND);
-    assert_eq!(still_serving_at(&network, 6), 0);
+    network.run(CONVERGENCE);
+    assert_eq!(observers_seeing_serving(&network, 6), 0);
 }
 
 #[test]
-fn a_planned_stop_is_not_undone_by_a_list_that_says_otherwise() {
-    let mut network = settled();
+fn a_planned_stop_is_not_undone_by_a_list_that_shows_the_node_as_live() {
+    let mut network = settled_network();
     network.tell(5, FleetEvent::Leave);
     network.run(Duration::from_secs(20));
-    assert_eq!(still_serving_at(&network, 5), 0);
+    assert_eq!(observers_seeing_serving(&network, 5), 0);
     assert!(!network.fleet(5).takes_new_work());
 }
 
 #[test]
 fn a_node_no_longer_listed_as_leaving_takes_work_again() {
-    let mut network = settled();
-    list_as_leaving(&mut network, 5, true);
+    let mut network = settled_network();
+    set_listed_as_leaving(&mut network, 5, true);
     network.run(Duration::from_secs(10));
-    list_as_leaving(&mut network, 5, false);
+    set_listed_as_leaving(&mut network, 5, false);
     network.run(Duration::from_secs(10));
     assert!(network.fleet(5).takes_new_work());
-    assert_eq!(still_serving_at(&network, 5), NODES as usize - 1);
+    assert_eq!(observers_seeing_serving(&network, 5), NODES as usize - 1);
 }
