--- a/crates/coordination/src/fleet/leaving/mod.rs
+++ b/crates/coordination/src/fleet/leaving/mod.rs
@@ -79,6 +79,6 @@
 
     fn announce_immediately(&mut self, now: Timestamp, own: MemberRecord, outbox: &mut Outbox) {
         self.announce(now, own.clone());
-        self.tell_at_once(own, FANOUT, outbox);
+        self.send_immediately(own, FANOUT, outbox);
     }
 }
--- a/crates/coordination/src/fleet/membership/contact.rs
+++ b/crates/coordination/src/fleet/membership/contact.rs
@@ -1,4 +1,4 @@
-//! Messages from other nodes.
+//! Handles membership messages from other nodes.
 
 use lifthollow_protocol::control::{
     BucketDigests, FleetBody, FleetHeader, MemberRecord, ProbeSequence,
@@ -6,14 +6,15 @@
 use lifthollow_state::{NodeId, Timestamp};
 
 use super::member_table::Merge;
-use super::news::{Passing, is_doubted};
+use super::news::{Forwarding, is_refutable};
 use super::{Membership, synchronization};
 use crate::fleet::outbox::Outbox;
 use crate::fleet::report::FleetReport;
 
 impl Membership {
-    /// Any message shows that its sender runs, and what it has.
-    pub fn heard(
+    /// Handles the header of any message, which shows that its sender runs and which
+    /// table and members it knows. A sender that should refute its record receives it.
+    pub fn handle_header(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -24,15 +25,15 @@
             member.heard = Some(now);
             member.table = header.table;
             let outdated = header.incarnation < member.record.incarnation;
-            if outdated || is_doubted(member) && member.record.incarnation == header.incarnation {
+            if outdated || is_refutable(member) && member.record.incarnation == header.incarnation {
                 outbox.send_updates(from, vec![member.record.clone()]);
             }
         }
         self.synchronization
-            .contact(now, from, header.members, &self.members, outbox);
+            .handle_digest(now, from, header.members, &self.members, outbox);
     }
 
-    /// A node asks for an answer.
+    /// Answers a ping and applies its updates.
     pub fn answer_ping(
         &mut self,
         now: Timestamp,
@@ -46,9 +47,9 @@
         outbox.send(from, FleetBody::Ack { sequence, updates });
     }
 
-    /// A node has answered. True if the ping was sent since this node last
-    /// began to doubt.
-    pub fn take_ack(
+    /// Handles the answer to a ping. Returns whether the ping was sent since the start
+    /// or the last pause of this process.
+    pub fn handle_ack(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -57,11 +58,11 @@
         outbox: &mut Outbox,
     ) -> bool {
         self.apply_all(now, updates, outbox);
-        if let Some((requester, sequence)) = self.prober.answered(sequence) {
+        if let Some((requester, sequence)) = self.prober.complete_probe(sequence) {
             outbox.send(requester, FleetBody::IndirectAck { sequence });
         }
         self.zone_answered(now, from, outbox);
-        sequence >= self.first_trusted
+        sequence >= self.first_trusted_sequence
     }
 
     fn zone_answered(&mut self, now: Timestamp, from: NodeId, outbox: &mut Outbox) {
@@ -69,14 +70,14 @@
             return;
         };
         let zone = member.record.zone;
-        if self.zones.answered(zone, now) {
+        if self.zones.record_answer(zone, now) {
             outbox.report(FleetReport::ZoneReachable { zone });
-            self.synchronization.hurry(now);
-            self.touch_zone(zone);
+            self.synchronization.expedite(now);
+            self.mark_zone_outdated(zone);
         }
     }
 
-    /// A node asks for a probe on its behalf.
+    /// Probes `target` on behalf of the node `from`.
     pub fn relay_ping(
         &mut self,
         from: NodeId,
@@ -88,19 +89,19 @@
         self.ping(target, sequence, outbox);
     }
 
-    /// A node was reached through another one.
-    pub fn take_indirect_ack(&mut self, sequence: ProbeSequence) {
-        self.prober.answered_by_relay(sequence);
+    /// Records that another node reached the target of a probe.
+    pub fn handle_indirect_ack(&mut self, sequence: ProbeSequence) {
+        self.prober.record_indirect_answer(sequence);
     }
 
-    /// News of members.
+    /// Applies and forwards all updates.
     pub fn apply_all(&mut self, now: Timestamp, updates: Vec<MemberRecord>, outbox: &mut Outbox) {
         for record in updates {
-            self.apply(now, record, Passing::On, outbox);
+            self.apply(now, record, Forwarding::Piggyback, outbox);
         }
     }
 
-    /// A node asks for members that differ.
+    /// Answers a request for the members in differing buckets.
     pub fn answer_digests(
         &mut self,
         now: Timestamp,
@@ -108,13 +109,20 @@
         digests: &BucketDigests,
         outbox: &mut Outbox,
     ) {
-        self.synchronization
-            .answer(now, from, digests, &self.members, &mut self.random, outbox);
+        self.synchronization.answer_request(
+            now,
+            from,
+            digests,
+            &self.members,
+            &mut self.random,
+            outbox,
+        );
     }
 
-    /// Members that differed, as another node knows them. They are not passed on:
-    /// whoever lacks them finds out by the same comparison.
-    pub fn take_buckets(
+    /// Applies the members of differing buckets that another node sent, and sends back
+    /// the records that it lacks. The records are not forwarded: nodes that lack them
+    /// learn of them by the same comparison.
+    pub fn handle_buckets(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -128,10 +136,10 @@
         }
         let merges = records
             .into_iter()
-            .map(|record| self.apply(now, record, Passing::Silent, outbox));
+            .map(|record| self.apply(now, record, Forwarding::Skip, outbox));
         let applied = merges
             .filter(|merge| matches!(merge, Merge::Applied(_)))
             .count();
-        self.synchronization.applied(now, applied);
+        self.synchronization.count_applied(now, applied);
     }
 }
--- a/crates/coordination/src/fleet/membership/judgement.rs
+++ b/crates/coordination/src/fleet/membership/judgement.rs
@@ -1,25 +1,31 @@
-//! What follows from a probe without an answer.
+//! Handles probes without an answer: suspects the member or marks its zone as
+//! unreachable.
 
 use lifthollow_protocol::control::{MemberRecord, MemberStatus};
 use lifthollow_state::{NodeId, Timestamp};
 
 use super::Membership;
-use super::news::Passing;
+use super::news::Forwarding;
 use super::prober::FailedProbe;
-use super::zones::Silence;
+use super::zones::ProbeVerdict;
 use crate::fleet::outbox::Outbox;
 use crate::fleet::report::FleetReport;
 
 impl Membership {
-    pub(super) fn judge(&mut self, now: Timestamp, failed: FailedProbe, outbox: &mut Outbox) {
-        match self.zones.judge(failed.zone, failed.started) {
-            Silence::Member if failed.alive_by_relay => {}
-            Silence::Member => self.suspect(now, failed.target, outbox),
-            Silence::Zone => {
+    pub(super) fn handle_failed_probe(
+        &mut self,
+        now: Timestamp,
+        failed: FailedProbe,
+        outbox: &mut Outbox,
+    ) {
+        match self.zones.classify_failure(failed.zone, failed.started) {
+            ProbeVerdict::MemberUnresponsive if failed.alive_by_relay => {}
+            ProbeVerdict::MemberUnresponsive => self.suspect(now, failed.target, outbox),
+            ProbeVerdict::ZoneUnresponsive => {
                 if self.zones.mark_unreachable(failed.zone, now) {
                     let zone = failed.zone;
                     outbox.report(FleetReport::ZoneUnreachable { zone });
-                    self.touch_zone(zone);
+                    self.mark_zone_outdated(zone);
                 }
             }
         }
@@ -33,6 +39,6 @@
             status: MemberStatus::Suspected,
             ..member.record.clone()
         };
-        self.apply(now, record, Passing::On, outbox);
+        self.apply(now, record, Forwarding::Piggyback, outbox);
     }
 }
--- a/crates/coordination/src/fleet/membership/listing.rs
+++ b/crates/coordination/src/fleet/membership/listing.rs
@@ -1,44 +1,44 @@
-//! The platform's list of machines. It lags, so it is a seed and a second
-//! witness, never the only one.
+//! Applies the platform's list of machines. The list lags, so it only names initial
+//! members and supports other evidence; alone it removes no announced member.
 
 use std::collections::BTreeMap;
 
 use lifthollow_protocol::control::{MemberRecord, MemberStatus};
 use lifthollow_state::{Incarnation, NodeId, Timestamp};
 
-use super::news::Passing;
+use super::news::Forwarding;
 use super::{Listing, Membership};
 use crate::fleet::event::Machine;
 use crate::fleet::outbox::Outbox;
 
-/// What a list that was read has changed.
+/// What a list that was read has changed in the membership.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListChange {
-    /// It told something that was not known.
+    /// Whether the list contained something that was not known.
     pub news: bool,
-    /// How this node itself was and is listed.
+    /// How this node itself was listed before and is listed now.
     pub own: Option<(Listing, Listing)>,
 }
 
 impl Membership {
-    /// Takes in a list.
-    pub fn read_list(
+    /// Applies a list that was read.
+    pub fn apply_list(
         &mut self,
         now: Timestamp,
         machines: &[Machine],
         outbox: &mut Outbox,
     ) -> ListChange {
-        self.last_list = Some(now);
+        self.last_list_read = Some(now);
         let mut change = ListChange::default();
         let listed = records_by_node(machines);
         for (record, listing) in listed.values() {
-            change.news |= self.list(now, record, *listing, &mut change.own, outbox);
+            change.news |= self.apply_listed_record(now, record, *listing, &mut change.own, outbox);
         }
-        change.news |= self.drop_unlisted(&listed);
+        change.news |= self.mark_dropped(&listed);
         change
     }
 
-    fn list(
+    fn apply_listed_record(
         &mut self,
         now: Timestamp,
         record: &MemberRecord,
@@ -48,7 +48,8 @@
     ) -> bool {
         let node = record.node;
         let known = self.members.get(node);
-        let outdated = known.is_some_and(|known| !known.is_announced() && differs(known, record));
+        let outdated =
+            known.is_some_and(|known| !known.is_announced() && placement_differs(known, record));
         if outdated {
             self.forget(node);
         }
@@ -64,14 +65,15 @@
             *own = Some((before, listing));
         }
         if before != listing || news {
-            self.touch(node, None);
+            self.mark_outdated(node, None);
         }
         let newly_leaving = before != listing && listing == Listing::Leaving;
-        news || newly_leaving && self.believe_leaving(now, node, outbox)
+        news || newly_leaving && self.apply_listed_leaving(now, node, outbox)
     }
 
-    /// Tells others, who may not be able to read the list. True if it is news.
-    fn believe_leaving(&mut self, now: Timestamp, node: NodeId, outbox: &mut Outbox) -> bool {
+    /// Marks a member that is listed as leaving and forwards that to other nodes, which
+    /// may not be able to read the list. Returns whether it was not known before.
+    fn apply_listed_leaving(&mut self, now: Timestamp, node: NodeId, outbox: &mut Outbox) -> bool {
         let Some(member) = self.members.get(node) else {
             return false;
         };
@@ -84,13 +86,14 @@
             ..member.record.clone()
         };
         if member.is_announced() {
-            self.apply(now, record, Passing::On, outbox);
+            self.apply(now, record, Forwarding::Piggyback, outbox);
         }
         true
     }
 
-    /// Members that the list no longer has.
-    fn drop_unlisted(&mut self, listed: &BTreeMap<NodeId, (MemberRecord, Listing)>) -> bool {
+    /// Marks the members that the list no longer contains as dropped. Returns whether
+    /// there were any.
+    fn mark_dropped(&mut self, listed: &BTreeMap<NodeId, (MemberRecord, Listing)>) -> bool {
         let dropped: Vec<NodeId> = self
             .members
             .iter()
@@ -99,7 +102,7 @@
             .filter(|node| !listed.contains_key(node))
             .collect();
         for node in &dropped {
-            self.touch(*node, None);
+            self.mark_outdated(*node, None);
             if let Some(member) = self.members.get_mut(*node) {
                 member.listing = Listing::Dropped;
             }
@@ -108,13 +111,13 @@
     }
 }
 
-fn differs(known: &super::Member, listed: &MemberRecord) -> bool {
+fn placement_differs(known: &super::Member, listed: &MemberRecord) -> bool {
     let known = &known.record;
     known.services != listed.services || known.zone != listed.zone || known.side != listed.side
 }
 
-/// One record for each node, whose services may stand in several rows. A node is
-/// leaving if any row says so.
+/// Builds one record for each node, whose services may be listed in several rows. A
+/// node is leaving if any of its rows says so.
 fn records_by_node(machines: &[Machine]) -> BTreeMap<NodeId, (MemberRecord, Listing)> {
     let mut records = BTreeMap::new();
     for machine in machines {
--- a/crates/coordination/src/fleet/membership/member.rs
+++ b/crates/coordination/src/fleet/membership/member.rs
@@ -4,38 +4,39 @@
 use lifthollow_state::{Incarnation, Server, ServerState, TableVersion, Timestamp};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What the platform's list says of a member.
+/// How the platform's list of machines shows a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Listing {
-    /// No list that was read had it.
+    /// No list read so far contains the member.
     #[default]
     Never,
-    /// The latest list has it.
+    /// The latest list contains the member, not as leaving.
     Live,
-    /// The latest list has it as leaving.
+    /// The latest list contains the member as leaving.
     Leaving,
-    /// An earlier list had it, the latest has not.
+    /// An earlier list contained the member, the latest does not.
     Dropped,
 }
 
 /// One member of the fleet as this node knows it.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// What nodes tell each other. Incarnation zero: only the platform's list or
-    /// the settings name it, it was never heard of.
+    /// The record that nodes exchange about the member. Incarnation zero means that
+    /// only the platform's list or the settings name the member and no node has
+    /// announced it.
     pub record: MemberRecord,
-    /// What the platform's list says.
+    /// How the platform's list shows the member.
     pub listing: Listing,
-    /// When it last answered or wrote to this node.
+    /// When this node last received a message from the member.
     pub heard: Option<Timestamp>,
-    /// The version in force there when it was last heard.
+    /// The table version in force on the member in its last message.
     pub table: TableVersion,
-    /// Since when its status is not `Alive`.
+    /// Since when the status of the member is not `Alive`; set anew when it is removed.
     pub not_alive_since: Option<Timestamp>,
 }
 
 impl Member {
-    /// A member of which only its record is known.
+    /// Creates a member of which only the record is known.
     pub fn new(record: MemberRecord) -> Self {
         Member {
             record,
@@ -46,17 +47,18 @@
         }
     }
 
-    /// Whether it is known by more than the platform's list or the settings.
+    /// Whether a node announced the member, so that it is known by more than the
+    /// platform's list or the settings.
     pub fn is_announced(&self) -> bool {
         self.record.incarnation > Incarnation::default()
     }
 
-    /// Whether it is gone.
+    /// Whether the member has the status `Removed`.
     pub fn is_removed(&self) -> bool {
         self.record.status == MemberStatus::Removed
     }
 
-    /// The server that decisions see; none if it must not be used at all.
+    /// The server entry for the directory; `None` if the member must not be used.
     pub fn server(&self, zone_reachable: bool) -> Option<Server> {
         let state = match (self.record.status, self.listing) {
             (MemberStatus::Removed, _) => return None,
@@ -75,8 +77,9 @@
     }
 }
 
-/// Digest of what can differ between two nodes' records of one member; zero for
-/// members that are not compared.
+/// Digest of the fields that can differ between two nodes' records of one member:
+/// node, incarnation and status. Zero for members that are not compared, which are
+/// unannounced and removed ones.
 pub fn record_digest(record: &MemberRecord) -> u64 {
     let compared = record.incarnation > Incarnation::default();
     if !compared || record.status == MemberStatus::Removed {
--- a/crates/coordination/src/fleet/membership/member_table.rs
+++ b/crates/coordination/src/fleet/membership/member_table.rs
@@ -1,4 +1,4 @@
-//! All members that a node knows, with digests that two nodes can compare.
+//! The table of all known members, with digests that two nodes can compare.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem::size_of;
@@ -10,60 +10,64 @@
 
 use super::member::{Member, record_digest};
 
-/// Buckets in which members are compared: about 14 members each at full size.
+/// Number of buckets in which members are compared: about 14 members each in a fleet
+/// of full size.
 pub const BUCKETS: usize = 256;
 const BUCKET_DIGEST_BYTES: usize = 3;
 
-/// What a record that came in has changed.
+/// Result of merging a received record into the member table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Merge {
-    /// It was known already.
+    /// The same record was known already.
     Known,
-    /// It is older than what is known.
+    /// The received record is older than the known one.
     Older,
-    /// It is of no use: a member that is gone and was not known here.
+    /// The record says that a member is removed which was not known here.
     Ignored,
-    /// It was taken over from what was known before.
+    /// The record was stored; holds the record that it replaced, if any.
     Applied(Option<MemberRecord>),
 }
 
-/// Members by node, by zone and by bucket.
+/// Members indexed by node, by zone and by bucket.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
-    /// In the order in which they became known, but for removals.
+    /// All members in the order in which they became known, except that a removal
+    /// moves the last one into the gap.
     members: Vec<Member>,
-    /// Place of each member; never iterated, so its order is not seen.
-    places: FxHashMap<NodeId, usize>,
+    /// Index of each member in `members`. The map is never iterated, so its
+    /// unspecified order has no effect.
+    indexes: FxHashMap<NodeId, usize>,
     by_zone: BTreeMap<Zone, Vec<NodeId>>,
     by_bucket: Vec<Vec<NodeId>>,
     digests: Vec<u64>,
     digest: u64,
-    names: BTreeSet<ServiceName>,
+    service_names: BTreeSet<ServiceName>,
 }
 
 impl MemberTable {
-    /// No members.
+    /// Creates an empty table.
     pub fn new() -> Self {
         MemberTable {
             members: Vec::new(),
-            places: FxHashMap::default(),
+            indexes: FxHashMap::default(),
             by_zone: BTreeMap::new(),
             by_bucket: vec![Vec::new(); BUCKETS],
             digests: vec![0; BUCKETS],
             digest: 0,
-            names: BTreeSet::new(),
+            service_names: BTreeSet::new(),
         }
     }
 
-    /// The member, if it is known.
+    /// The member with this node id, if it is known.
     pub fn get(&self, node: NodeId) -> Option<&Member> {
-        self.places.get(&node).map(|place| &self.members[*place])
+        self.indexes.get(&node).map(|index| &self.members[*index])
     }
 
-    /// The member for changes other than of its record.
+    /// The member with this node id, for changes to fields other than its record,
+    /// which the digests cover.
     pub fn get_mut(&mut self, node: NodeId) -> Option<&mut Member> {
-        let place = *self.places.get(&node)?;
-        self.members.get_mut(place)
+        let index = *self.indexes.get(&node)?;
+        self.members.get_mut(index)
     }
 
     /// All members.
@@ -71,7 +75,7 @@
         self.members.iter()
     }
 
-    /// How many members are known.
+    /// Number of known members.
     pub fn len(&self) -> usize {
         self.members.len()
     }
@@ -81,31 +85,31 @@
         self.by_zone.keys().copied()
     }
 
-    /// Members of a zone, in the order in which they became known.
+    /// Nodes of the members of a zone, in the order in which they were added to it.
     pub fn in_zone(&self, zone: Zone) -> &[NodeId] {
         self.by_zone.get(&zone).map_or(&[], Vec::as_slice)
     }
 
-    /// Members of a bucket that are compared between nodes.
+    /// Members of a bucket that nodes compare with each other.
     pub fn in_bucket(&self, bucket: usize) -> impl Iterator<Item = &Member> {
         let nodes = self.by_bucket[bucket].iter();
         let members = nodes.filter_map(|node| self.get(*node));
         members.filter(|member| record_digest(&member.record) != 0)
     }
 
-    /// Digest of all members that are compared.
+    /// Digest of all members that nodes compare with each other.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The digests to be sent to another node.
+    /// The shortened digests of all buckets, to be sent to another node.
     pub fn bucket_digests(&self) -> BucketDigests {
         let short = |digest: &u64| digest.to_le_bytes().into_iter().take(BUCKET_DIGEST_BYTES);
         let bytes: Vec<u8> = self.digests.iter().flat_map(short).collect();
         BucketDigests(bytes.into())
     }
 
-    /// Buckets whose digests differ from those another node sent.
+    /// Indexes of the buckets whose digests differ from those that another node sent.
     pub fn differing_buckets(&self, theirs: &BucketDigests) -> Vec<usize> {
         let ours = self.bucket_digests();
         let ours = ours.0.chunks_exact(BUCKET_DIGEST_BYTES);
@@ -117,7 +121,7 @@
             .collect()
     }
 
-    /// Takes over a record if it is newer than what is known.
+    /// Stores a record if it is newer than the known one.
     pub fn merge(&mut self, now: Timestamp, record: MemberRecord) -> Merge {
         let Some(known) = self.get(record.node) else {
             if record.status == MemberStatus::Removed {
@@ -140,10 +144,10 @@
         let node = record.node;
         self.by_zone.entry(record.zone).or_default().push(node);
         self.by_bucket[bucket_of(node)].push(node);
-        self.count(&record, u64::wrapping_add);
+        self.update_digests(&record, u64::wrapping_add);
         let mut member = Member::new(record);
         member.not_alive_since = not_alive_since(now, &member.record, None);
-        self.places.insert(node, self.members.len());
+        self.indexes.insert(node, self.members.len());
         self.members.push(member);
     }
 
@@ -152,10 +156,10 @@
         let member = self.get_mut(record.node)?;
         member.not_alive_since = not_alive_since(now, &record, member.not_alive_since);
         let before = std::mem::replace(&mut member.record, record.clone());
-        self.count(&before, u64::wrapping_sub);
-        self.count(&record, u64::wrapping_add);
+        self.update_digests(&before, u64::wrapping_sub);
+        self.update_digests(&record, u64::wrapping_add);
         if before.zone != record.zone {
-            self.leave_zone(before.zone, before.node);
+            self.remove_from_zone(before.zone, before.node);
             self.by_zone
                 .entry(record.zone)
                 .or_default()
@@ -164,20 +168,20 @@
         Some(before)
     }
 
-    /// Forgets a member altogether.
-    pub fn forget(&mut self, node: NodeId) -> Option<Member> {
-        let place = self.places.remove(&node)?;
-        let member = self.members.swap_remove(place);
-        if let Some(moved) = self.members.get(place) {
-            self.places.insert(moved.record.node, place);
+    /// Deletes a member from the table and returns it.
+    pub fn delete(&mut self, node: NodeId) -> Option<Member> {
+        let index = self.indexes.remove(&node)?;
+        let member = self.members.swap_remove(index);
+        if let Some(moved) = self.members.get(index) {
+            self.indexes.insert(moved.record.node, index);
         }
-        self.count(&member.record, u64::wrapping_sub);
-        self.leave_zone(member.record.zone, node);
+        self.update_digests(&member.record, u64::wrapping_sub);
+        self.remove_from_zone(member.record.zone, node);
         self.by_bucket[bucket_of(node)].retain(|known| *known != node);
         Some(member)
     }
 
-    fn leave_zone(&mut self, zone: Zone, node: NodeId) {
+    fn remove_from_zone(&mut self, zone: Zone, node: NodeId) {
         if let Some(nodes) = self.by_zone.get_mut(&zone) {
             nodes.retain(|known| *known != node);
             if nodes.is_empty() {
@@ -186,30 +190,31 @@
         }
     }
 
-    fn count(&mut self, record: &MemberRecord, change: fn(u64, u64) -> u64) {
+    fn update_digests(&mut self, record: &MemberRecord, change: fn(u64, u64) -> u64) {
         let digest = record_digest(record);
         let bucket = &mut self.digests[bucket_of(record.node)];
         *bucket = change(*bucket, digest);
         self.digest = change(self.digest, digest);
     }
 
-    /// Lets equal names share their memory.
+    /// Replaces service names by equal ones that are stored already, so that equal
+    /// names share their memory.
     fn intern(&mut self, services: &mut [ServiceName]) {
         for service in services {
-            match self.names.get(service) {
+            match self.service_names.get(service) {
                 Some(known) => *service = known.clone(),
-                None => drop(self.names.insert(service.clone())),
+                None => drop(self.service_names.insert(service.clone())),
             }
         }
     }
 
-    /// Bytes of all members.
+    /// Estimated memory used by the table, in bytes.
     pub fn state_bytes(&self) -> usize {
         const NAME_BYTES: usize = 64;
         let member = size_of::<Member>() + size_of::<ServiceName>();
-        let places = 2 * size_of::<NodeId>() + 2 * size_of::<(NodeId, usize)>();
+        let indexes = 2 * size_of::<NodeId>() + 2 * size_of::<(NodeId, usize)>();
         let buckets = BUCKETS * (size_of::<Vec<NodeId>>() + size_of::<u64>());
-        self.members.len() * (member + places) + buckets + self.names.len() * NAME_BYTES
+        self.members.len() * (member + indexes) + buckets + self.service_names.len() * NAME_BYTES
     }
 }
 
--- a/crates/coordination/src/fleet/membership/mod.rs
+++ b/crates/coordination/src/fleet/membership/mod.rs
@@ -1,16 +1,16 @@
-//! Which nodes exist and how they stand.
+//! Membership of the fleet: which nodes exist and whether they answer.
 //!
-//! Every node knows every member by a record of a few dozen bytes. Records are
-//! ordered by incarnation and status, so that all nodes arrive at the same ones
-//! in whatever order news comes in.
+//! Every node keeps a record of a few dozen bytes for every member. Records are
+//! ordered by incarnation and status, so that all nodes converge on the same ones
+//! whatever the order in which updates arrive.
 //!
-//! - [`prober`]: probes, direct and through others;
-//! - [`zones`]: silence of a whole zone is not held against its members;
-//! - [`judgement`]: what follows from a probe without an answer;
-//! - [`news`], [`update_queue`]: records that ride on probes and their answers;
-//! - [`synchronization`]: comparison of all members, for what news missed;
-//! - [`listing`]: the platform's list of machines, as a seed and a second witness;
-//! - [`removal`]: when a member is forgotten.
+//! - [`prober`]: probes members directly and through other nodes;
+//! - [`zones`]: tells an unreachable zone from a failed member;
+//! - [`judgement`]: handles a probe without an answer;
+//! - [`news`], [`update_queue`]: member records piggybacked on probes and answers;
+//! - [`synchronization`]: compares all members, to repair what updates missed;
+//! - [`listing`]: the platform's list of machines, as a seed and as second evidence;
+//! - [`removal`]: removes members that are gone.
 
 mod contact;
 mod judgement;
@@ -40,11 +40,11 @@
 use update_queue::UpdateQueue;
 use zones::ZoneReachability;
 
-/// Nodes asked in each round while this node is in doubt or knows few others;
-/// some may not answer.
-const PEERS_ASKED_IN_DOUBT: usize = 5;
+/// Number of nodes asked in each round while the table is not confirmed or this
+/// node knows few others; some may not answer.
+const PEERS_ASKED_PER_ROUND: usize = 5;
 
-/// The members known and the work of keeping them up to date.
+/// All known members and the state of the protocols that keep them up to date.
 #[derive(Debug)]
 pub(super) struct Membership {
     node: NodeId,
@@ -55,18 +55,18 @@
     zones: ZoneReachability,
     synchronization: Synchronization,
     random: ChaCha8Rng,
-    /// Members whose place in the directory must be looked at again, with the
-    /// services that they were known for.
-    touched: BTreeMap<NodeId, Vec<ServiceName>>,
-    /// Answers to pings from this sequence on were sent since the node last
-    /// began to doubt.
-    first_trusted: ProbeSequence,
-    last_list: Option<Timestamp>,
+    /// Members whose directory entries must be refreshed, with the services of
+    /// their replaced or removed records.
+    outdated_entries: BTreeMap<NodeId, Vec<ServiceName>>,
+    /// First sequence of the pings that were sent since the start or the last pause;
+    /// only answers to these confirm the table.
+    first_trusted_sequence: ProbeSequence,
+    last_list_read: Option<Timestamp>,
     next_removal: Timestamp,
 }
 
 impl Membership {
-    /// Only this node itself is known.
+    /// Starts with this node as the only member.
     pub fn new(settings: &FleetSettings) -> Self {
         let mut membership = Membership {
             node: settings.node,
@@ -77,27 +77,27 @@
             zones: ZoneReachability::default(),
             synchronization: Synchronization::new(),
             random: ChaCha8Rng::seed_from_u64(settings.seed ^ settings.node.as_u64()),
-            touched: BTreeMap::new(),
-            first_trusted: ProbeSequence::default(),
-            last_list: None,
+            outdated_entries: BTreeMap::new(),
+            first_trusted_sequence: ProbeSequence::default(),
+            last_list_read: None,
             next_removal: Timestamp::ZERO,
         };
         membership.announce(Timestamp::ZERO, own_record(settings));
         membership
     }
 
-    /// Takes over all that `other` knows of members, but not of itself.
-    pub fn know_members_of(&mut self, other: &Membership) {
+    /// Copies the member table of `other` without its own record.
+    pub fn copy_members_from(&mut self, other: &Membership) {
         let own = self.own().cloned();
         self.members = other.members.clone();
-        self.members.forget(other.node);
+        self.members.delete(other.node);
         self.updates = UpdateQueue::default();
         if let Some(own) = own.filter(|_| self.own().is_none()) {
             self.announce(Timestamp::ZERO, own);
         }
     }
 
-    /// This node's present incarnation.
+    /// The current incarnation of this node.
     pub fn incarnation(&self) -> Incarnation {
         self.own()
             .map_or(Incarnation::default(), |record| record.incarnation)
@@ -107,17 +107,17 @@
         self.members.get(self.node).map(|member| &member.record)
     }
 
-    /// Digest of all members.
+    /// Digest of the records of all members.
     pub fn digest(&self) -> u64 {
         self.members.digest()
     }
 
-    /// All members, this node included.
+    /// All members, including this node.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.iter()
     }
 
-    /// The member, if it is known.
+    /// The member with this node id, if it is known.
     pub fn member(&self, node: NodeId) -> Option<&Member> {
         self.members.get(node)
     }
@@ -127,37 +127,40 @@
         node == self.node
     }
 
-    /// Whether the zone answers this node.
+    /// Whether members of the zone answer this node.
     pub fn is_zone_reachable(&self, zone: Zone) -> bool {
         self.zones.is_reachable(zone)
     }
 
-    /// How many other nodes could be asked.
+    /// Number of other nodes that could be asked.
     pub fn known_peers(&self) -> usize {
         self.members.len().saturating_sub(1).max(self.seeds.len())
     }
 
-    /// Members whose place in the directory may have changed, with the services
-    /// that they were known for before.
-    pub fn take_touched(&mut self) -> BTreeMap<NodeId, Vec<ServiceName>> {
-        std::mem::take(&mut self.touched)
+    /// Takes the members whose directory entries may have changed, with the services
+    /// of their replaced or removed records.
+    pub fn take_outdated_entries(&mut self) -> BTreeMap<NodeId, Vec<ServiceName>> {
+        std::mem::take(&mut self.outdated_entries)
     }
 
-    /// The process was paused: what was under way says nothing about others.
-    pub fn doubt(&mut self, now: Timestamp) {
-        self.synchronization.hurry(now);
+    /// Discards the probes in progress after a pause of the process, because missing
+    /// answers then say nothing about other nodes, and allows an early comparison of
+    /// all members.
+    pub fn reset_probes(&mut self, now: Timestamp) {
+        self.synchronization.expedite(now);
         self.prober.clear();
-        self.first_trusted = self.prober.sequence();
+        self.first_trusted_sequence = self.prober.sequence();
     }
 
-    /// Random members that answer as far as is known.
+    /// Up to `count` random members with status `Alive`.
     pub fn random_peers(&mut self, count: usize) -> BTreeSet<NodeId> {
         let choices =
             (0..count).filter_map(|_| self.prober.choose_any(&self.members, &mut self.random));
         choices.collect()
     }
 
-    /// A random node that had at least this version in force when last heard.
+    /// A random node that had at least this table version in force when it was last
+    /// heard.
     pub fn peer_with_table(&mut self, version: TableVersion) -> Option<NodeId> {
         let has_version = |member: &&Member| {
             member.table >= version && member.record.status == MemberStatus::Alive
@@ -183,7 +186,7 @@
         Some(others[self.random.random_range(0..others.len())])
     }
 
-    /// Probes, judges probes that failed, and forgets who is gone.
+    /// Sends probes, handles failed ones and removes members that are gone.
     pub fn tick(&mut self, now: Timestamp, outbox: &mut Outbox) {
         let round = self
             .prober
@@ -196,10 +199,10 @@
             outbox.send(request.relay, FleetBody::IndirectPing { sequence, target });
         }
         for failed in round.failed {
-            self.judge(now, failed, outbox);
+            self.handle_failed_probe(now, failed, outbox);
         }
         self.ping_unreachable_zone(outbox);
-        if self.members.len() <= PEERS_ASKED_IN_DOUBT {
+        if self.members.len() <= PEERS_ASKED_PER_ROUND {
             self.ask_peers(outbox);
         }
         self.remove_members(now, outbox);
@@ -210,10 +213,11 @@
         outbox.send(to, FleetBody::Ping { sequence, updates });
     }
 
-    /// While this node is in doubt, it asks more nodes than probes would.
+    /// Pings several random nodes at once, more than regular probes would, to learn
+    /// quickly of newer tables and of other members.
     pub fn ask_peers(&mut self, outbox: &mut Outbox) {
-        let mut peers = self.random_peers(PEERS_ASKED_IN_DOUBT);
-        if peers.len() < PEERS_ASKED_IN_DOUBT {
+        let mut peers = self.random_peers(PEERS_ASKED_PER_ROUND);
+        if peers.len() < PEERS_ASKED_PER_ROUND {
             peers.extend(self.random_seed());
         }
         for peer in peers {
@@ -237,26 +241,27 @@
         }
     }
 
-    /// The places in the directory of the zone's members must be looked at again.
-    fn touch_zone(&mut self, zone: Zone) {
+    /// Marks the directory entries of all members of the zone for a refresh.
+    fn mark_zone_outdated(&mut self, zone: Zone) {
         for node in self.members.in_zone(zone) {
-            self.touched.entry(*node).or_default();
+            self.outdated_entries.entry(*node).or_default();
         }
     }
 
-    /// The member's place in the directory must be looked at again.
-    fn touch(&mut self, node: NodeId, before: Option<&MemberRecord>) {
-        let services = self.touched.entry(node).or_default();
+    /// Marks the member's directory entries for a refresh; `before` is the record that
+    /// was replaced or removed.
+    fn mark_outdated(&mut self, node: NodeId, before: Option<&MemberRecord>) {
+        let services = self.outdated_entries.entry(node).or_default();
         let before = before.into_iter();
         services.extend(before.flat_map(|record| record.services.clone()));
     }
 
     fn forget(&mut self, node: NodeId) {
-        let forgotten = self.members.forget(node);
-        self.touch(node, forgotten.as_ref().map(|member| &member.record));
+        let forgotten = self.members.delete(node);
+        self.mark_outdated(node, forgotten.as_ref().map(|member| &member.record));
     }
 
-    /// Bytes of everything known of members.
+    /// Estimated memory used for members and queued updates, in bytes.
     pub fn state_bytes(&self) -> usize {
         const QUEUED_UPDATE_BYTES: usize = 64;
         self.members.state_bytes() + self.updates.len() * QUEUED_UPDATE_BYTES
--- a/crates/coordination/src/fleet/membership/news.rs
+++ b/crates/coordination/src/fleet/membership/news.rs
@@ -1,4 +1,4 @@
-//! News of members: taken over, passed on, and refuted when it is wrong news of
+//! Applies and forwards updates of member records, and refutes wrong updates about
 //! this node itself.
 
 use lifthollow_protocol::control::{MemberRecord, MemberStatus, encoded_length};
@@ -7,31 +7,31 @@
 use super::Membership;
 use super::member::Member;
 use super::member_table::Merge;
-use super::update_queue::pass_limit;
+use super::update_queue::forward_limit;
 use crate::fleet::outbox::Outbox;
 use crate::fleet::report::FleetReport;
 
-/// Bytes of news in one probe or answer.
+/// Maximum bytes of member records in one probe or answer.
 const UPDATE_BYTES: usize = 350;
-/// Nodes told at once of news that cannot wait.
+/// Number of nodes to which an urgent update is sent immediately.
 const URGENT_FANOUT: usize = 6;
 
-/// Whether a record that is new here is passed on to others.
+/// Whether a record that is new to this node is forwarded to others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Passing {
-    /// With the next probes and answers.
-    On,
-    /// Not at all.
-    Silent,
+pub(super) enum Forwarding {
+    /// The record is forwarded with the next probes and answers.
+    Piggyback,
+    /// The record is not forwarded.
+    Skip,
 }
 
 impl Membership {
-    /// News for a node: what it should know of itself first, then what has
-    /// spread least.
+    /// Selects the updates to send to node `to`: first the record of `to` itself if
+    /// it has reason to refute it, then the records that were forwarded least often.
     pub(super) fn updates_for(&mut self, to: NodeId) -> Vec<MemberRecord> {
         let mut updates = Vec::new();
         let mut bytes = 0;
-        if let Some(member) = self.members.get(to).filter(|member| is_doubted(member)) {
+        if let Some(member) = self.members.get(to).filter(|member| is_refutable(member)) {
             bytes += encoded_length(&member.record);
             updates.push(member.record.clone());
         }
@@ -46,52 +46,53 @@
             bytes += length;
             bytes <= UPDATE_BYTES
         };
-        let chosen = self.updates.take(pass_limit(members.len()), fits);
+        let chosen = self.updates.take(forward_limit(members.len()), fits);
         let records = chosen.into_iter().filter_map(|node| self.members.get(node));
         updates.extend(records.map(|member| member.record.clone()));
         updates
     }
 
-    /// Takes over news of a member, passes it on and shows it to operators.
+    /// Merges a received record, forwards it if `forwarding` says so, and reports a
+    /// changed status to operators.
     pub(super) fn apply(
         &mut self,
         now: Timestamp,
         record: MemberRecord,
-        passing: Passing,
+        forwarding: Forwarding,
         outbox: &mut Outbox,
     ) -> Merge {
         if record.node == self.node {
-            self.defend(now, record, outbox);
+            self.handle_own_record(now, record, outbox);
             return Merge::Known;
         }
         let node = record.node;
         let merge = self.members.merge(now, record);
         match &merge {
-            Merge::Applied(before) => self.applied(node, before.as_ref(), passing, outbox),
+            Merge::Applied(before) => self.after_merge(node, before.as_ref(), forwarding, outbox),
             Merge::Known => {
-                let limit = pass_limit(self.members.len());
-                self.updates.heard_again(node, limit);
+                let limit = forward_limit(self.members.len());
+                self.updates.record_duplicate(node, limit);
             }
             Merge::Older | Merge::Ignored => {}
         }
         merge
     }
 
-    fn applied(
+    fn after_merge(
         &mut self,
         node: NodeId,
         before: Option<&MemberRecord>,
-        passing: Passing,
+        forwarding: Forwarding,
         outbox: &mut Outbox,
     ) {
-        self.touch(node, before);
+        self.mark_outdated(node, before);
         let Some(member) = self.members.get(node) else {
             return;
         };
         if !member.is_announced() {
             return;
         }
-        if passing == Passing::On {
+        if forwarding == Forwarding::Piggyback {
             self.updates.push(node);
         }
         let status_before = before.map(|record| record.status);
@@ -102,13 +103,13 @@
         report_status(&record, status_before, outbox);
         let refuted = status_before == Some(MemberStatus::Suspected);
         let urgent = record.status == MemberStatus::Leaving || refuted;
-        if urgent && passing == Passing::On {
-            self.tell_at_once(record, URGENT_FANOUT, outbox);
+        if urgent && forwarding == Forwarding::Piggyback {
+            self.send_immediately(record, URGENT_FANOUT, outbox);
         }
     }
 
-    /// Sends a record to a few nodes without waiting for the next probe.
-    pub(in crate::fleet) fn tell_at_once(
+    /// Sends a record to `fanout` random nodes without waiting for the next probe.
+    pub(in crate::fleet) fn send_immediately(
         &mut self,
         record: MemberRecord,
         fanout: usize,
@@ -119,46 +120,49 @@
         }
     }
 
-    /// Others hold this node for worse than it is, or for another life of it: it
-    /// refutes that by a larger incarnation. That it is leaving it believes, since
-    /// others may have read so in the platform's list.
-    fn defend(&mut self, now: Timestamp, claimed: MemberRecord, outbox: &mut Outbox) {
+    /// Handles a record about this node itself. If it supersedes this node's own
+    /// record, because of a worse status or another incarnation, this node refutes it
+    /// with a larger incarnation. A record that says that the current incarnation is
+    /// leaving is accepted, since others may have read so in the platform's list.
+    fn handle_own_record(&mut self, now: Timestamp, claimed: MemberRecord, outbox: &mut Outbox) {
         let Some(own) = self.own().cloned() else {
             return;
         };
         if !claimed.supersedes(&own) {
-            let limit = pass_limit(self.members.len());
-            self.updates.heard_again(self.node, limit);
+            let limit = forward_limit(self.members.len());
+            self.updates.record_duplicate(self.node, limit);
             return;
         }
-        let same_life = claimed.incarnation == own.incarnation;
+        let same_incarnation = claimed.incarnation == own.incarnation;
         let claim = match claimed.status {
-            MemberStatus::Leaving if same_life => claimed,
+            MemberStatus::Leaving if same_incarnation => claimed,
             _ => MemberRecord {
                 incarnation: Incarnation(claimed.incarnation.0 + 1),
                 ..own
             },
         };
         self.announce(now, claim.clone());
-        self.tell_at_once(claim, URGENT_FANOUT, outbox);
+        self.send_immediately(claim, URGENT_FANOUT, outbox);
     }
 
     pub(in crate::fleet) fn announce(&mut self, now: Timestamp, own: MemberRecord) {
         self.members.merge(now, own);
-        self.touch(self.node, None);
+        self.mark_outdated(self.node, None);
         self.updates.push(self.node);
     }
 }
 
-/// Whether the member has reason to refute what is known of it.
-pub(super) fn is_doubted(member: &Member) -> bool {
+/// Whether the member has the status `Suspected` or `Removed`, which it would refute
+/// if it runs.
+pub(super) fn is_refutable(member: &Member) -> bool {
     matches!(
         member.record.status,
         MemberStatus::Suspected | MemberStatus::Removed
     )
 }
 
-/// Members that appear for the first time are not reported.
+/// Reports the status of a member to operators. A member that appears for the first
+/// time as `Alive` is not reported.
 fn report_status(record: &MemberRecord, before: Option<MemberStatus>, outbox: &mut Outbox) {
     let (node, incarnation) = (record.node, record.incarnation);
     let report = match record.status {
--- a/crates/coordination/src/fleet/membership/prober.rs
+++ b/crates/coordination/src/fleet/membership/prober.rs
@@ -1,10 +1,11 @@
-//! Probes: which member is asked next, how often, and through whom.
+//! Probes members: selects which member is probed next, how often, and through which
+//! other nodes.
 //!
-//! Every second tick begins a probe of a member in the next zone of a shuffled round,
-//! so that every zone is tried within seconds and every member is tried by
-//! somebody. A probe without an answer is repeated in the following ticks,
-//! directly, through other nodes, and beside pings to other members of the zone
-//! that tell a silent member from a silent zone.
+//! Every second tick starts a probe of a member in the next zone of a shuffled round,
+//! so that every zone is probed within seconds and every member is probed by some
+//! node. A probe without an answer is repeated in the following ticks, directly and
+//! through other nodes. Pings to other members of the zone are sent with it, to tell a
+//! failed member from an unreachable zone.
 
 use lifthollow_protocol::control::{MemberStatus, ProbeSequence};
 use lifthollow_state::{NodeId, Timestamp, Zone};
@@ -15,14 +16,14 @@
 use super::member_table::MemberTable;
 use super::zones::ZoneReachability;
 
-/// Ticks in which a probe is tried: with 10% loss on every path a healthy member
-/// stays without any answer in about one probe of 10 million.
+/// Number of ticks in which a probe is sent: with 10% loss on every path, about one
+/// probe in 10 million of a healthy member gets no answer.
 const ATTEMPTS: u32 = 4;
-/// A new probe is begun in one tick of so many.
+/// Number of ticks from the start of one probe to that of the next.
 const TICKS_PER_PROBE: u32 = 2;
-/// Nodes asked to probe on this node's behalf, each time.
+/// Number of nodes that are asked to probe on this node's behalf, in each tick.
 const RELAYS: usize = 3;
-/// Ticks for which a probe on another node's behalf is remembered.
+/// Number of ticks for which a probe on another node's behalf is kept.
 const RELAY_TICKS: u32 = 2;
 
 /// A probe in progress.
@@ -48,39 +49,39 @@
 /// A probe that got no direct answer.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedProbe {
-    /// The member probed.
+    /// The member that was probed.
     pub target: NodeId,
-    /// Its zone.
+    /// The zone of the probed member.
     pub zone: Zone,
-    /// When the probe began.
+    /// When the probe was started.
     pub started: Timestamp,
-    /// Whether the member answered through other nodes.
+    /// Whether the member answered a probe by another node.
     pub alive_by_relay: bool,
 }
 
 /// A request to a node to probe another one.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayRequest {
-    /// The node asked.
+    /// The node that is asked to probe.
     pub relay: NodeId,
     /// The node to be probed.
     pub target: NodeId,
-    /// Returned in the answer.
+    /// The sequence that the relay returns in its answer.
     pub sequence: ProbeSequence,
 }
 
-/// What is to be sent and concluded in one tick.
+/// The pings and requests to send in one tick, and the probes that failed in it.
 #[derive(Debug, Default)]
 pub struct ProbeRound {
     /// Pings to send.
     pub pings: Vec<(NodeId, ProbeSequence)>,
-    /// Probes to ask others for.
+    /// Requests to other nodes to probe a member.
     pub relay_requests: Vec<RelayRequest>,
-    /// Probes that have failed.
+    /// Probes that got no direct answer in all attempts.
     pub failed: Vec<FailedProbe>,
 }
 
-/// Probes in progress.
+/// Probes in progress, of this node and on behalf of others.
 #[derive(Debug)]
 pub struct Prober {
     node: NodeId,
@@ -92,7 +93,7 @@
 }
 
 impl Prober {
-    /// No probes; `node` is this node itself.
+    /// Starts without probes; `node` is this node itself.
     pub fn new(node: NodeId) -> Self {
         Prober {
             node,
@@ -104,20 +105,22 @@
         }
     }
 
-    /// Forgets all probes, whose answers can no longer be judged.
+    /// Discards all probes, for example because a pause makes missing answers
+    /// meaningless.
     pub fn clear(&mut self) {
         self.probes.clear();
         self.relayed.clear();
     }
 
-    /// A sequence that no other ping of this node has.
+    /// Allocates the sequence of the next ping.
     pub fn sequence(&mut self) -> ProbeSequence {
         let sequence = ProbeSequence(self.next_sequence);
         self.next_sequence = self.next_sequence.wrapping_add(1);
         sequence
     }
 
-    /// Repeats probes without an answer, concludes failed ones and begins one.
+    /// Repeats probes without an answer, returns failed ones and, in every
+    /// [`TICKS_PER_PROBE`]-th tick, starts one.
     pub fn tick(
         &mut self,
         now: Timestamp,
@@ -126,18 +129,18 @@
         random: &mut ChaCha8Rng,
     ) -> ProbeRound {
         let mut round = ProbeRound::default();
-        self.forget_relayed();
+        self.expire_relayed();
         for probe in std::mem::take(&mut self.probes) {
             self.continue_probe(probe, members, zones, random, &mut round);
         }
         if self.ticks.is_multiple_of(TICKS_PER_PROBE) {
-            self.begin_probe(now, members, random, &mut round);
+            self.start_probe(now, members, random, &mut round);
         }
         self.ticks = self.ticks.wrapping_add(1);
         round
     }
 
-    fn forget_relayed(&mut self) {
+    fn expire_relayed(&mut self) {
         for relayed in &mut self.relayed {
             relayed.ticks += 1;
         }
@@ -163,7 +166,7 @@
         }
         probe.attempts += 1;
         round.pings.push((probe.target, probe.sequence));
-        self.ask_relays(&probe, members, random, round);
+        self.request_relays(&probe, members, random, round);
         let other = self.choose_in_zone(probe.zone, Some(probe.target), members, random);
         if let Some(other) = other {
             round.pings.push((other, self.sequence()));
@@ -171,7 +174,7 @@
         self.probes.push(probe);
     }
 
-    fn ask_relays(
+    fn request_relays(
         &mut self,
         probe: &Probe,
         members: &MemberTable,
@@ -192,7 +195,7 @@
         }
     }
 
-    fn begin_probe(
+    fn start_probe(
         &mut self,
         now: Timestamp,
         members: &MemberTable,
@@ -228,7 +231,8 @@
         self.zone_round.pop()
     }
 
-    /// A random member of the zone that is not gone.
+    /// A random member of the zone that is neither removed, nor this node, nor
+    /// `except`. `None` if none was found in a few tries.
     pub fn choose_in_zone(
         &self,
         zone: Zone,
@@ -251,7 +255,8 @@
         candidates.find(usable)
     }
 
-    /// A random member that answers as far as is known.
+    /// A random member with status `Alive`, from a random zone. `None` if none was
+    /// found in a few tries.
     pub fn choose_any(&self, members: &MemberTable, random: &mut ChaCha8Rng) -> Option<NodeId> {
         const TRIES: usize = 4;
         let zones: Vec<Zone> = members.zones().collect();
@@ -266,7 +271,7 @@
         })
     }
 
-    /// A node asks for a probe on its behalf; returns the sequence to probe with.
+    /// Records a probe on behalf of `requester`; returns the sequence to ping with.
     pub fn relay(&mut self, requester: NodeId, theirs: ProbeSequence) -> ProbeSequence {
         let sequence = self.sequence();
         self.relayed.push(RelayedProbe {
@@ -278,9 +283,9 @@
         sequence
     }
 
-    /// A ping was answered directly; returns whom to tell, if the ping was on
-    /// another node's behalf.
-    pub fn answered(&mut self, sequence: ProbeSequence) -> Option<(NodeId, ProbeSequence)> {
+    /// Completes the probe whose ping was answered directly. If the ping was on another
+    /// node's behalf, returns that node and the sequence that it used.
+    pub fn complete_probe(&mut self, sequence: ProbeSequence) -> Option<(NodeId, ProbeSequence)> {
         self.probes.retain(|probe| probe.sequence != sequence);
         let index = self
             .relayed
@@ -290,8 +295,8 @@
         Some((relayed.requester, relayed.requester_sequence))
     }
 
-    /// A member answered through another node.
-    pub fn answered_by_relay(&mut self, sequence: ProbeSequence) {
+    /// Records that the target of a probe answered another node.
+    pub fn record_indirect_answer(&mut self, sequence: ProbeSequence) {
         let mut probes = self.probes.iter_mut();
         if let Some(probe) = probes.find(|probe| probe.sequence == sequence) {
             probe.alive_by_relay = true;
@@ -299,8 +304,8 @@
     }
 }
 
-/// Nothing new is learned from repeating a probe of a member that is suspected
-/// already, or in a zone that is unreachable.
+/// Number of attempts for a probe: only one for a member that is not `Alive` or is in
+/// an unreachable zone, since repeating the probe would bring no new information.
 fn attempts_for(probe: &Probe, members: &MemberTable, zones: &ZoneReachability) -> u32 {
     let suspected = members
         .get(probe.target)
--- a/crates/coordination/src/fleet/membership/removal.rs
+++ b/crates/coordination/src/fleet/membership/removal.rs
@@ -1,8 +1,8 @@
-//! When a member is forgotten.
+//! Removes members that are gone.
 //!
-//! Silence alone removes nobody: a paused or cut-off process is only suspected.
-//! A member is removed when it has been silent for a while and the platform's
-//! list, read meanwhile, no longer has it.
+//! Missing answers alone do not remove a member: a paused or partitioned process is
+//! only suspected. A member is removed when it has not answered for a while and the
+//! platform's list, read during that time, no longer contains it.
 
 use std::time::Duration;
 
@@ -11,33 +11,37 @@
 
 use super::Membership;
 use super::member::{Listing, Member};
-use super::news::Passing;
+use super::news::Forwarding;
 use crate::fleet::outbox::Outbox;
 
-/// Between two looks.
-const INTERVAL: Duration = Duration::from_secs(30);
-/// Silence, beside the platform's word, after which a member is removed.
-const SILENT_AND_DROPPED: Duration = Duration::from_secs(60);
-/// Silence of a member that no list has had yet.
-const SILENT_AND_NEVER_LISTED: Duration = Duration::from_secs(600);
-/// A leaving member may finish work for long after the platform dropped it.
-const LEAVING_AND_DROPPED: Duration = Duration::from_secs(600);
-/// Silence after which a member is removed without the platform's word, while
-/// no list can be read.
-const SILENT_WITHOUT_LIST: Duration = Duration::from_secs(2 * 3600);
-/// A list read longer ago than this says nothing.
-const LIST_VALID: Duration = Duration::from_secs(600);
-/// For this long after its removal a member is remembered as gone, so that older
-/// news of it is not believed.
-const TOMBSTONE: Duration = Duration::from_secs(600);
+/// Time between two checks for members to remove.
+const CHECK_INTERVAL: Duration = Duration::from_secs(30);
+/// Time without an answer after which a member is removed that the platform's list
+/// no longer contains.
+const DROPPED_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time without an answer after which a member is removed that no list has contained
+/// so far.
+const NEVER_LISTED_TIMEOUT: Duration = Duration::from_secs(600);
+/// Time without an answer after which a leaving member is removed that the platform's
+/// list no longer contains; it may still finish work for long after that.
+const LEAVING_DROPPED_TIMEOUT: Duration = Duration::from_secs(600);
+/// Time without an answer after which a member is removed while no valid list is
+/// available.
+const NO_LIST_TIMEOUT: Duration = Duration::from_secs(2 * 3600);
+/// Time after which a list that was read is no longer used as evidence.
+const LIST_VALIDITY: Duration = Duration::from_secs(600);
+/// Time for which the record of a removed member is kept, so that older updates do
+/// not restore the member.
+const TOMBSTONE_LIFETIME: Duration = Duration::from_secs(600);
 
 impl Membership {
-    /// Removes who is gone, and forgets who was removed long ago.
+    /// Removes members that are gone and deletes the records of members that were
+    /// removed long ago.
     pub(super) fn remove_members(&mut self, now: Timestamp, outbox: &mut Outbox) {
         if now < self.next_removal {
             return;
         }
-        self.next_removal = now + INTERVAL;
+        self.next_removal = now + CHECK_INTERVAL;
         let gone: Vec<MemberRecord> = self
             .members
             .iter()
@@ -56,7 +60,12 @@
             return;
         }
         let status = MemberStatus::Removed;
-        self.apply(now, MemberRecord { status, ..record }, Passing::On, outbox);
+        self.apply(
+            now,
+            MemberRecord { status, ..record },
+            Forwarding::Piggyback,
+            outbox,
+        );
     }
 
     fn is_announced(&self, node: NodeId) -> bool {
@@ -67,25 +76,28 @@
         let silent_since = self.silent_since(member);
         let silent = silent_since.map_or(Duration::ZERO, |since| now - since);
         if member.record.status == MemberStatus::Removed {
-            return silent >= TOMBSTONE;
+            return silent >= TOMBSTONE_LIFETIME;
         }
-        let Some(list) = self.last_list.filter(|list| now - *list <= LIST_VALID) else {
-            return silent >= SILENT_WITHOUT_LIST;
+        let Some(list) = self
+            .last_list_read
+            .filter(|list| now - *list <= LIST_VALIDITY)
+        else {
+            return silent >= NO_LIST_TIMEOUT;
         };
         let list_is_newer = silent_since.is_some_and(|since| list > since);
         let leaving = member.record.status == MemberStatus::Leaving;
-        let bound = match member.listing {
+        let timeout = match member.listing {
             Listing::Live | Listing::Leaving => return false,
             Listing::Dropped if !member.is_announced() => Duration::ZERO,
-            Listing::Dropped if leaving => LEAVING_AND_DROPPED,
-            Listing::Dropped => SILENT_AND_DROPPED,
-            Listing::Never => SILENT_AND_NEVER_LISTED,
+            Listing::Dropped if leaving => LEAVING_DROPPED_TIMEOUT,
+            Listing::Dropped => DROPPED_TIMEOUT,
+            Listing::Never => NEVER_LISTED_TIMEOUT,
         };
-        let unlisted_seed = bound == Duration::ZERO;
-        unlisted_seed || list_is_newer && silent >= bound
+        let unlisted_seed = timeout == Duration::ZERO;
+        unlisted_seed || list_is_newer && silent >= timeout
     }
 
-    /// Since when the member, or its whole zone, does not answer.
+    /// Since when the member does not answer, or else its whole zone.
     fn silent_since(&self, member: &Member) -> Option<Timestamp> {
         let zone = member.record.zone;
         member
--- a/crates/coordination/src/fleet/membership/synchronization.rs
+++ b/crates/coordination/src/fleet/membership/synchronization.rs
@@ -1,4 +1,5 @@
-//! Comparing all members with another node, for what single updates missed.
+//! Compares all members with another node by digests, to repair what single updates
+//! missed.
 
 use std::time::Duration;
 
@@ -14,54 +15,57 @@
 use crate::fleet::budget::Budget;
 use crate::fleet::outbox::Outbox;
 
-/// Contacts in a row that must show another digest before members are compared:
-/// while news is spreading, digests differ for a while anyway.
-const DIFFERING_CONTACTS: u32 = 6;
-/// Between two comparisons, unless the last one brought much.
+/// Number of consecutive messages with a different digest before members are
+/// compared: while updates are spreading, digests differ for a while anyway.
+const DIFFERING_DIGESTS_REQUIRED: u32 = 6;
+/// Time between two comparisons, unless the last one brought many new records.
 const INTERVAL: Duration = Duration::from_secs(5);
-/// While much is missing.
+/// Time between two comparisons while many records are missing.
 const INTERVAL_WHILE_BEHIND: Duration = Duration::from_secs(1);
-/// New records in one comparison that count as much.
-const MUCH: usize = 20;
-/// Datagrams that answer one comparison.
+/// Number of new records in one comparison from which on more are assumed missing.
+const BEHIND_THRESHOLD: usize = 20;
+/// Maximum number of datagrams that answer one comparison.
 const DATAGRAMS_PER_ANSWER: u32 = 3;
-/// Datagrams a second that a node sends in answers in the long run.
+/// Long-term limit on the datagrams per second that a node sends in answers.
 const DATAGRAMS_PER_SECOND: u32 = 6;
-/// Datagrams that it may send at once after a quiet time.
+/// Maximum number of datagrams that a node may send at once in answers after an idle
+/// time.
 const DATAGRAM_BURST: u32 = 12;
-/// Room for the envelope, the header and the list of buckets.
+/// Bytes reserved in a datagram for the envelope, the header and the list of buckets.
 const ENVELOPE_BYTES: usize = 128;
 const MAX_RECORD_BYTES: usize = MAX_DATAGRAM_BYTES - DATAGRAM_HEADER_BYTES - ENVELOPE_BYTES;
 
-/// When members are compared with whom, and how much is answered.
+/// Schedule of the comparisons that this node starts, and budget of the answers that
+/// it sends.
 #[derive(Debug)]
 pub struct Synchronization {
     next: Timestamp,
-    differing_contacts: u32,
+    differing_digests: u32,
     applied_since_request: usize,
     budget: Budget,
 }
 
 impl Synchronization {
-    /// The first comparison may begin at once.
+    /// Starts in a state in which the first comparison may begin immediately.
     pub fn new() -> Self {
         Synchronization {
             next: Timestamp::ZERO,
-            differing_contacts: DIFFERING_CONTACTS,
+            differing_digests: DIFFERING_DIGESTS_REQUIRED,
             applied_since_request: 0,
             budget: Budget::new(DATAGRAMS_PER_SECOND, DATAGRAM_BURST),
         }
     }
 
-    /// Much may have happened unheard: the next contact that differs is enough.
-    pub fn hurry(&mut self, now: Timestamp) {
-        self.differing_contacts = DIFFERING_CONTACTS;
+    /// Allows a comparison with the next node whose digest differs, because many
+    /// updates may have been missed.
+    pub fn expedite(&mut self, now: Timestamp) {
+        self.differing_digests = DIFFERING_DIGESTS_REQUIRED;
         self.next = self.next.min(now);
     }
 
-    /// Another node shows its digest of all members: asks it for what differs,
-    /// if the last contacts differed too.
-    pub fn contact(
+    /// Handles the digest `theirs` of all members in a message from `peer`: requests
+    /// the differing members if enough consecutive digests differed.
+    pub fn handle_digest(
         &mut self,
         now: Timestamp,
         peer: NodeId,
@@ -70,11 +74,11 @@
         outbox: &mut Outbox,
     ) {
         if theirs == members.digest() {
-            self.differing_contacts = 0;
+            self.differing_digests = 0;
             return;
         }
-        self.differing_contacts += 1;
-        if self.differing_contacts < DIFFERING_CONTACTS || now < self.next {
+        self.differing_digests += 1;
+        if self.differing_digests < DIFFERING_DIGESTS_REQUIRED || now < self.next {
             return;
         }
         self.next = now + INTERVAL;
@@ -83,16 +87,17 @@
         outbox.send(peer, FleetBody::MemberDigests { digests });
     }
 
-    /// Records of an answer were new here: if they are many, more are missing.
-    pub fn applied(&mut self, now: Timestamp, records: usize) {
+    /// Counts the `records` of an answer that were new here. If they are many, more
+    /// are missing and the next comparison comes sooner.
+    pub fn count_applied(&mut self, now: Timestamp, records: usize) {
         self.applied_since_request += records;
-        if self.applied_since_request >= MUCH {
+        if self.applied_since_request >= BEHIND_THRESHOLD {
             self.next = self.next.min(now + INTERVAL_WHILE_BEHIND);
         }
     }
 
-    /// Another node asks for what differs.
-    pub fn answer(
+    /// Answers a request of `peer` with the members of the buckets that differ.
+    pub fn answer_request(
         &mut self,
         now: Timestamp,
         peer: NodeId,
@@ -114,8 +119,8 @@
     }
 }
 
-/// Answers with the members of `buckets`, each within a datagram. Over-full
-/// buckets are begun at a place that `first` decides.
+/// Builds answers with the members of `buckets`, each within a datagram. A bucket
+/// that exceeds a datagram starts at a member that depends on `first`.
 fn answers<'a>(
     buckets: &'a [usize],
     first: usize,
@@ -152,11 +157,11 @@
     })
 }
 
-/// As many records of an over-full bucket as fit; others follow in later
-/// answers, which begin elsewhere.
+/// As many records of a bucket that exceeds a datagram as fit into one. The others
+/// follow in later answers, which start at another record.
 fn truncated(mut records: Vec<MemberRecord>, first: usize) -> Vec<MemberRecord> {
-    let middle = first % records.len().max(1);
-    records.rotate_left(middle);
+    let start = first % records.len().max(1);
+    records.rotate_left(start);
     let mut bytes = 0;
     let fits = |record: &MemberRecord| {
         bytes += encoded_length(record);
@@ -165,8 +170,8 @@
     records.into_iter().take_while(fits).collect()
 }
 
-/// Members of the buckets that another node has listed in full and that it
-/// lacks or knows an older record of, as many as fit into one datagram.
+/// Records that another node lacks or knows an older version of, as many as fit into
+/// one datagram. Only the buckets that it sent completely are compared.
 pub fn unknown_to_peer(
     complete: &[u16],
     theirs: &[MemberRecord],
--- a/crates/coordination/src/fleet/membership/update_queue.rs
+++ b/crates/coordination/src/fleet/membership/update_queue.rs
@@ -1,45 +1,49 @@
-//! News of members that are passed on with probes until they have spread.
+//! Queue of member updates that are piggybacked on probes until they have spread.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use lifthollow_state::NodeId;
 
-/// Records that are passed on at once at most. When more change, those passed on
-/// most often are dropped; comparison of all members brings them to the rest.
-const LONGEST: usize = 128;
+/// Maximum number of records in the queue. When more change, those forwarded most
+/// often are dropped; synchronization brings them to the remaining nodes.
+const MAX_QUEUED: usize = 128;
 
-/// Nodes whose records are to be passed on, least often passed on first.
+/// Nodes whose records are to be forwarded, least often forwarded first.
 #[derive(Debug, Default)]
 pub struct UpdateQueue {
-    passes: BTreeMap<NodeId, u32>,
+    forwards: BTreeMap<NodeId, u32>,
     order: BTreeSet<(u32, NodeId)>,
 }
 
 impl UpdateQueue {
-    /// The record of `node` is new.
+    /// Queues the new record of `node`. If the queue is full, the entry that was
+    /// forwarded most often is dropped.
     pub fn push(&mut self, node: NodeId) {
         self.remove(node);
         self.insert(node, 0);
-        if self.order.len() > LONGEST
+        if self.order.len() > MAX_QUEUED
             && let Some((_, dropped)) = self.order.pop_last()
         {
-            self.passes.remove(&dropped);
+            self.forwards.remove(&dropped);
         }
     }
 
-    /// How many records are being passed on.
+    /// Number of queued records.
     pub fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// Another node passed on the same record: it counts as a pass of ours.
-    pub fn heard_again(&mut self, node: NodeId, limit: u32) {
-        if let Some(passes) = self.remove(node) {
-            self.count_pass(node, passes, limit);
+    /// Counts a record received again from another node as if this node had forwarded
+    /// it.
+    pub fn record_duplicate(&mut self, node: NodeId, limit: u32) {
+        if let Some(forwards) = self.remove(node) {
+            self.count_forward(node, forwards, limit);
         }
     }
 
-    /// Nodes to pass on next, as long as `fits` accepts them.
+    /// Takes the nodes whose records are forwarded next, as long as `fits` accepts
+    /// them, and counts them as forwarded. `limit` is the count at which a record
+    /// leaves the queue.
     pub fn take(&mut self, limit: u32, mut fits: impl FnMut(NodeId) -> bool) -> Vec<NodeId> {
         let chosen: Vec<(u32, NodeId)> = self
             .order
@@ -47,33 +51,34 @@
             .copied()
             .take_while(|(_, node)| fits(*node))
             .collect();
-        for (passes, node) in &chosen {
+        for (forwards, node) in &chosen {
             self.remove(*node);
-            self.count_pass(*node, *passes, limit);
+            self.count_forward(*node, *forwards, limit);
         }
         chosen.into_iter().map(|(_, node)| node).collect()
     }
 
-    fn count_pass(&mut self, node: NodeId, passes: u32, limit: u32) {
-        if passes + 1 < limit {
-            self.insert(node, passes + 1);
+    fn count_forward(&mut self, node: NodeId, forwards: u32, limit: u32) {
+        if forwards + 1 < limit {
+            self.insert(node, forwards + 1);
         }
     }
 
-    fn insert(&mut self, node: NodeId, passes: u32) {
-        self.passes.insert(node, passes);
-        self.order.insert((passes, node));
+    fn insert(&mut self, node: NodeId, forwards: u32) {
+        self.forwards.insert(node, forwards);
+        self.order.insert((forwards, node));
     }
 
     fn remove(&mut self, node: NodeId) -> Option<u32> {
-        let passes = self.passes.remove(&node)?;
-        self.order.remove(&(passes, node));
-        Some(passes)
+        let forwards = self.forwards.remove(&node)?;
+        self.order.remove(&(forwards, node));
+        Some(forwards)
     }
 }
 
-/// How often a record is passed on or heard again in a fleet of `members`: enough
-/// to reach nearly all, so that comparison has to mend only the rest.
-pub fn pass_limit(members: usize) -> u32 {
+/// How often a record is forwarded or received again in a fleet of `members` nodes
+/// before it leaves the queue: enough to reach nearly all nodes, so that
+/// synchronization has to repair only the rest.
+pub fn forward_limit(members: usize) -> u32 {
     2 * (members.max(2) as f64).ln().ceil() as u32 + 2
 }
--- a/crates/coordination/src/fleet/mod.rs
+++ b/crates/coordination/src/fleet/mod.rs
@@ -97,7 +97,7 @@
     /// had compared all with it. Simulations begin with a settled fleet by it.
     pub fn new_informed(settings: FleetSettings, other: &Fleet) -> Self {
         let mut fleet = Fleet::new(settings);
-        fleet.membership.know_members_of(&other.membership);
+        fleet.membership.copy_members_from(&other.membership);
         fleet.configuration = other.configuration.clone();
         fleet.view = other.view.clone();
         fleet
@@ -187,7 +187,7 @@
         }
         outbox.report(FleetReport::Paused { paused_for });
         self.next_tick = Some(now);
-        self.membership.doubt(now);
+        self.membership.reset_probes(now);
         self.configuration.reset_confirmation(now);
     }
 
@@ -233,7 +233,7 @@
 
     fn machines_fetched(&mut self, now: Timestamp, machines: &[Machine], outbox: &mut Outbox) {
         let known_before = self.membership.known_peers();
-        let change = self.membership.read_list(now, machines, outbox);
+        let change = self.membership.apply_list(now, machines, outbox);
         let members = self.membership.known_peers();
         self.list_poll.succeeded(change.news, members);
         if let Some(own) = change.own {
@@ -258,7 +258,7 @@
         if from == self.node {
             return;
         }
-        self.membership.heard(now, from, &header, outbox);
+        self.membership.handle_header(now, from, &header, outbox);
         self.receive_body(now, from, &header, body, outbox);
         self.configuration
             .handle_peer_version(now, from, header.table, outbox);
@@ -278,13 +278,13 @@
                 membership.answer_ping(now, from, sequence, updates, outbox);
             }
             FleetBody::Ack { sequence, updates } => {
-                let trusted = membership.take_ack(now, from, sequence, updates, outbox);
+                let trusted = membership.handle_ack(now, from, sequence, updates, outbox);
                 self.peer_answered(now, from, header, trusted, outbox);
             }
             FleetBody::IndirectPing { sequence, target } => {
                 membership.relay_ping(from, sequence, target, outbox);
             }
-            FleetBody::IndirectAck { sequence } => membership.take_indirect_ack(sequence),
+            FleetBody::IndirectAck { sequence } => membership.handle_indirect_ack(sequence),
             FleetBody::Updates { updates } => {
                 membership.apply_all(now, updates, outbox);
             }
@@ -292,7 +292,7 @@
                 membership.answer_digests(now, from, &digests, outbox);
             }
             FleetBody::MemberBuckets { complete, members } => {
-                membership.take_buckets(now, from, &complete, members, outbox);
+                membership.handle_buckets(now, from, &complete, members, outbox);
             }
             FleetBody::TableRequest(request) => {
                 self.configuration
@@ -341,7 +341,7 @@
     }
 
     fn refresh_directory(&mut self) {
-        let touched = self.membership.take_touched();
+        let touched = self.membership.take_outdated_entries();
         if touched.is_empty() {
             return;
         }
--- a/crates/coordination/tests/fleet_membership.rs
+++ b/crates/coordination/tests/fleet_membership.rs
@@ -1,5 +1,5 @@
-//! Members that fail are noticed; members that are paused, cut off, restarted or
-//! badly heard are not removed.
+//! Tests that failed members are detected, and that members are not removed because
+//! of a pause, a partition, a restart or datagram loss.
 
 mod fleet_network;
 
@@ -18,7 +18,7 @@
 const SERVING: Option<ServerState> = Some(ServerState::Serving);
 const SUSPECTED: Option<ServerState> = Some(ServerState::Suspected);
 
-fn settled() -> Network {
+fn settled_network() -> Network {
     Network::settled(NODES, ZONES, &table(1, 50))
 }
 
@@ -30,8 +30,8 @@
     network.reported(|report| matches!(report, FleetReport::MemberSuspected { .. }))
 }
 
-/// How the others see `number`, which nobody else shares a view of.
-fn seen_as(network: &Network, number: u64, state: Option<ServerState>) -> usize {
+/// Number of other nodes whose directory shows node `number` in `state`.
+fn observers_seeing(network: &Network, number: u64, state: Option<ServerState>) -> usize {
     let others = network
         .fleets
         .keys()
@@ -52,41 +52,44 @@
     }
     network.run(Duration::from_secs(30));
     for number in 1..=NODES {
-        assert_eq!(seen_as(&network, number, SERVING), NODES as usize - 1);
+        assert_eq!(
+            observers_seeing(&network, number, SERVING),
+            NODES as usize - 1
+        );
     }
 }
 
 #[test]
-fn a_member_that_ends_without_a_word_is_suspected_by_all_within_seconds() {
-    let mut network = settled();
+fn a_crashed_member_is_suspected_by_all_within_seconds() {
+    let mut network = settled_network();
     network.kill(5);
     network.run(Duration::from_secs(10));
-    assert_eq!(seen_as(&network, 5, SUSPECTED), NODES as usize - 1);
+    assert_eq!(observers_seeing(&network, 5, SUSPECTED), NODES as usize - 1);
     assert_eq!(removals(&network), 0, "the platform still lists it");
 }
 
 #[test]
 fn a_member_that_is_silent_and_no_longer_listed_is_removed() {
-    let mut network = settled();
+    let mut network = settled_network();
     network.kill(5);
     let machines = network.machines.as_mut().expect("listed");
     machines.retain(|machine| machine.node != node(5));
     network.run(Duration::from_secs(120));
-    assert_eq!(seen_as(&network, 5, None), NODES as usize - 1);
+    assert_eq!(observers_seeing(&network, 5, None), NODES as usize - 1);
 }
 
 #[test]
 fn a_paused_member_is_not_removed_and_serves_again_after_it() {
-    let mut network = settled();
+    let mut network = settled_network();
     network.pause(5, Duration::from_secs(10));
     network.run(Duration::from_secs(20));
     assert_eq!(removals(&network), 0);
-    assert_eq!(seen_as(&network, 5, SERVING), NODES as usize - 1);
+    assert_eq!(observers_seeing(&network, 5, SERVING), NODES as usize - 1);
 }
 
 #[test]
-fn a_node_that_was_paused_doubts_itself_and_suspects_nobody() {
-    let mut network = settled();
+fn a_node_that_was_paused_suspects_no_other_member() {
+    let mut network = settled_network();
     for number in 1..=4 {
         network.pause(number, Duration::from_secs(10));
     }
@@ -94,23 +97,23 @@
     network.reports.clear();
     network.run(Duration::from_secs(6));
     let paused: Vec<_> = (1..=4).map(node).collect();
-    let accusations = network.reports.iter().filter(|(_, accuser, report)| {
+    let accusations = network.reports.iter().filter(|(_, reporter, report)| {
         let accused = match report {
             FleetReport::MemberSuspected { node, .. } => *node,
             _ => return false,
         };
-        paused.contains(accuser) && !paused.contains(&accused)
+        paused.contains(reporter) && !paused.contains(&accused)
     });
     assert_eq!(accusations.count(), 0);
 }
 
 #[test]
 fn ten_percent_loss_leads_to_hardly_any_suspicion_and_no_removal() {
-    let mut network = settled();
+    let mut network = settled_network();
     network.loss = 0.1;
     network.run(Duration::from_secs(300));
     assert_eq!(removals(&network), 0);
-    // Of about 14,000 probes; each suspicion is reported by every node.
+    // The run has about 14,000 probes; each suspicion is reported by every node.
     assert!(
         suspicions(&network) < NODES as usize,
         "{}",
@@ -119,28 +122,28 @@
 }
 
 #[test]
-fn a_member_cut_off_one_way_from_one_node_is_not_suspected_by_others() {
-    let mut network = settled();
+fn a_member_with_one_broken_path_to_one_node_is_not_suspected() {
+    let mut network = settled_network();
     network.cut = Box::new(|from, to| from == node(5) && to == node(6));
     network.run(Duration::from_secs(60));
-    assert_eq!(seen_as(&network, 5, SERVING), NODES as usize - 1);
+    assert_eq!(observers_seeing(&network, 5, SERVING), NODES as usize - 1);
     assert_eq!(suspicions(&network), 0);
 }
 
 #[test]
-fn a_node_that_hears_nobody_accuses_nobody() {
-    let mut network = settled();
+fn a_node_that_receives_nothing_suspects_no_member() {
+    let mut network = settled_network();
     network.cut = Box::new(|_, to| to == node(6));
     network.run(Duration::from_secs(60));
-    let accusations = network.reports.iter().filter(|(_, accuser, report)| {
-        *accuser == node(6) && matches!(report, FleetReport::MemberSuspected { .. })
+    let accusations = network.reports.iter().filter(|(_, reporter, report)| {
+        *reporter == node(6) && matches!(report, FleetReport::MemberSuspected { .. })
     });
     assert_eq!(accusations.count(), 0);
 }
 
 #[test]
 fn a_false_accusation_is_refuted_by_a_larger_incarnation() {
-    let mut network = settled();
+    let mut network = settled_network();
     let before = network.fleet(5).incarnation();
     let accusation = MemberRecord {
         node: node(5),
@@ -161,24 +164,24 @@
     assert_eq!(network.state(6, 5), SUSPECTED);
     network.run(Duration::from_secs(5));
     assert!(network.fleet(5).incarnation() > before);
-    assert_eq!(seen_as(&network, 5, SERVING), NODES as usize - 1);
+    assert_eq!(observers_seeing(&network, 5, SERVING), NODES as usize - 1);
 }
 
 #[test]
 fn a_process_whose_wall_clock_went_back_is_accepted_after_its_restart() {
-    let mut network = settled();
+    let mut network = settled_network();
     let before = network.fleet(5).incarnation();
     network.kill(5);
     network.run(Duration::from_secs(10));
     network.start(5, ZONES, 0);
     network.run(Duration::from_secs(10));
     assert!(network.fleet(5).incarnation() > before);
-    assert_eq!(seen_as(&network, 5, SERVING), NODES as usize - 1);
+    assert_eq!(observers_seeing(&network, 5, SERVING), NODES as usize - 1);
 }
 
 #[test]
-fn the_views_of_a_partition_stay_apart_without_removal_and_merge_after_it() {
-    let mut network = settled();
+fn a_partition_removes_no_member_and_the_views_merge_after_it() {
+    let mut network = settled_network();
     let in_zone_zero = |node| fleet_network::zone(node, ZONES) == 0;
     network.cut = Box::new(move |from, to| in_zone_zero(from) != in_zone_zero(to));
     network.run(Duration::from_secs(1_200));
@@ -190,13 +193,16 @@
     network.cut = Box::new(|_, _| false);
     network.run(Duration::from_secs(15));
     for number in 1..=NODES {
-        assert_eq!(seen_as(&network, number, SERVING), NODES as usize - 1);
+        assert_eq!(
+            observers_seeing(&network, number, SERVING),
+            NODES as usize - 1
+        );
     }
 }
 
 #[test]
-fn a_zone_that_restarts_at_once_is_back_within_seconds_and_nobody_is_removed() {
-    let mut network = settled();
+fn a_zone_whose_nodes_all_restart_serves_within_seconds_without_removals() {
+    let mut network = settled_network();
     let zone: Vec<u64> = (1..=NODES).filter(|number| number % ZONES == 1).collect();
     for number in &zone {
         network.kill(*number);
@@ -208,7 +214,10 @@
     network.run(Duration::from_secs(15));
     assert_eq!(removals(&network), 0);
     for number in 1..=NODES {
-        assert_eq!(seen_as(&network, number, SERVING), NODES as usize - 1);
+        assert_eq!(
+            observers_seeing(&network, number, SERVING),
+            NODES as usize - 1
+        );
     }
     for number in zone {
         assert_eq!(network.fleet(number).table_version().number, 1);
