--- a/crates/coordination/src/fleet/config/mod.rs
+++ b/crates/coordination/src/fleet/config/mod.rs
@@ -19,7 +19,7 @@
 use lifthollow_protocol::control::{FleetBody, TablePage, TableRequest};
 use lifthollow_state::{NodeId, Table, TableVersion, Timestamp};
 
-use super::budget::Budget;
+use super::budget::TokenBucket;
 use super::outbox::Outbox;
 use super::report::{FleetReport, TableSource};
 
@@ -50,7 +50,7 @@
     history: History,
     pull: Option<Pull>,
     confirmation: Confirmation,
-    page_budget: Budget,
+    page_budget: TokenBucket,
     /// When the next transfer of all rows to another node may start.
     next_full_transfer: Timestamp,
     /// Versions that were last reported to operators, so that each is reported
@@ -74,7 +74,7 @@
             history: History::default(),
             pull: None,
             confirmation: Confirmation::new(Timestamp::ZERO),
-            page_budget: Budget::new(PAGES_PER_SECOND, PAGE_BURST),
+            page_budget: TokenBucket::new(PAGES_PER_SECOND, PAGE_BURST),
             next_full_transfer: Timestamp::ZERO,
             reported: Reported::default(),
         }
--- a/crates/coordination/src/fleet/directory.rs
+++ b/crates/coordination/src/fleet/directory.rs
@@ -1,10 +1,11 @@
-//! The servers that decisions may choose from, kept up to date member by member.
+//! Updates the directory of servers that decisions may choose from, one member at a
+//! time.
 
 use lifthollow_state::{Directory, NodeId, ServiceName};
 
 use super::membership::Membership;
 
-/// Looks again at the place of `node`, which was known for `services_before`.
+/// Updates the directory entries of `node`, which had entries for `services_before`.
 pub(super) fn refresh(
     directory: &mut Directory,
     membership: &Membership,
--- a/crates/coordination/src/fleet/event.rs
+++ b/crates/coordination/src/fleet/event.rs
@@ -1,4 +1,4 @@
-//! What the fleet part is told and what it wants done.
+//! Inputs and outputs of the fleet state machine.
 
 use std::sync::Arc;
 
@@ -7,66 +7,66 @@
 
 use super::report::FleetReport;
 
-/// What the fleet part knows of its own node.
+/// Settings of the fleet state machine, which describe its own node.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// The address other nodes reach it at.
+    /// The address at which other nodes reach this node.
     pub node: NodeId,
-    /// This life of the node: larger than that of any process that ran at the
+    /// Incarnation of this process: larger than that of any process that ran at the
     /// address before.
     pub incarnation: Incarnation,
-    /// Its data centre.
+    /// The data centre of this node.
     pub side: Side,
-    /// Its failure domain.
+    /// The failure domain of this node.
     pub zone: Zone,
-    /// The services whose back ends stand beside it.
+    /// The services whose back ends run beside this node.
     pub services: Vec<ServiceName>,
-    /// Nodes to ask first when the platform's list is not at hand.
+    /// Nodes to ask first when the platform's list is not available.
     pub seeds: Vec<NodeId>,
-    /// Seed of every random choice.
+    /// Seed of the random generators of the fleet state machine.
     pub seed: u64,
 }
 
-/// A machine as the platform's list shows it; the list lags.
+/// A machine as the platform's list shows it. The list may lag.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Machine {
-    /// The node on it.
+    /// The node that runs on the machine.
     pub node: NodeId,
-    /// The service whose back end it runs.
+    /// The service whose back end the machine runs.
     pub service: ServiceName,
-    /// Its data centre.
+    /// The data centre of the machine.
     pub side: Side,
-    /// Its failure domain.
+    /// The failure domain of the machine.
     pub zone: Zone,
-    /// Whether the platform lists it as leaving.
+    /// Whether the platform lists the machine as leaving.
     pub leaving: bool,
 }
 
-/// The platform's service could not be read.
+/// Error: the platform's service could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FetchFailed;
 
-/// What the fleet part is told.
+/// Events that the fleet state machine handles.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetEvent {
     /// The answer to [`FleetEffect::FetchTable`].
     TableFetched(Result<Arc<Table>, FetchFailed>),
     /// The answer to [`FleetEffect::FetchMachines`].
     MachinesFetched(Result<Vec<Machine>, FetchFailed>),
-    /// A datagram came in.
+    /// A datagram was received.
     Message {
-        /// The node it came from.
+        /// The node that sent the datagram.
         from: NodeId,
-        /// What it says.
+        /// The message in the datagram.
         message: ControlMessage,
     },
     /// A planned stop of this node has begun.
     Leave,
-    /// The time asked for with `next_wake` has come.
+    /// The time returned by `next_wake` has come.
     Wake,
 }
 
-/// What the fleet part wants done.
+/// Actions that the caller must carry out for the fleet state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetEffect {
     /// Read the table from the platform's configuration service.
@@ -75,11 +75,11 @@
     FetchMachines,
     /// Send a datagram. It may be lost.
     Send {
-        /// Where it goes.
+        /// The node that receives the datagram.
         to: NodeId,
-        /// What it says.
+        /// The message in the datagram.
         message: ControlMessage,
     },
-    /// Something operators should see in the log.
+    /// Write a report for operators to the log.
     Report(FleetReport),
 }
--- a/crates/coordination/src/fleet/membership/listing.rs
+++ b/crates/coordination/src/fleet/membership/listing.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListChange {
     /// Whether the list contained something that was not known.
-    pub news: bool,
+    pub changed: bool,
     /// How this node itself was listed before and is listed now.
     pub own: Option<(Listing, Listing)>,
 }
@@ -32,9 +32,10 @@
         let mut change = ListChange::default();
         let listed = records_by_node(machines);
         for (record, listing) in listed.values() {
-            change.news |= self.apply_listed_record(now, record, *listing, &mut change.own, outbox);
+            change.changed |=
+                self.apply_listed_record(now, record, *listing, &mut change.own, outbox);
         }
-        change.news |= self.mark_dropped(&listed);
+        change.changed |= self.mark_dropped(&listed);
         change
     }
 
@@ -53,22 +54,22 @@
         if outdated {
             self.forget(node);
         }
-        let news = self.members.get(node).is_none();
-        if news {
+        let is_new = self.members.get(node).is_none();
+        if is_new {
             self.members.merge(now, record.clone());
         }
         let Some(member) = self.members.get_mut(node) else {
-            return news;
+            return is_new;
         };
         let before = std::mem::replace(&mut member.listing, listing);
         if node == self.node {
             *own = Some((before, listing));
         }
-        if before != listing || news {
+        if before != listing || is_new {
             self.mark_outdated(node, None);
         }
         let newly_leaving = before != listing && listing == Listing::Leaving;
-        news || newly_leaving && self.apply_listed_leaving(now, node, outbox)
+        is_new || newly_leaving && self.apply_listed_leaving(now, node, outbox)
     }
 
     /// Marks a member that is listed as leaving and forwards that to other nodes, which
--- a/crates/coordination/src/fleet/membership/synchronization.rs
+++ b/crates/coordination/src/fleet/membership/synchronization.rs
@@ -12,7 +12,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::member_table::{BUCKETS, MemberTable};
-use crate::fleet::budget::Budget;
+use crate::fleet::budget::TokenBucket;
 use crate::fleet::outbox::Outbox;
 
 /// Number of consecutive messages with a different digest before members are
@@ -42,7 +42,7 @@
     next: Timestamp,
     differing_digests: u32,
     applied_since_request: usize,
-    budget: Budget,
+    budget: TokenBucket,
 }
 
 impl Synchronization {
@@ -52,7 +52,7 @@
             next: Timestamp::ZERO,
             differing_digests: DIFFERING_DIGESTS_REQUIRED,
             applied_since_request: 0,
-            budget: Budget::new(DATAGRAMS_PER_SECOND, DATAGRAM_BURST),
+            budget: TokenBucket::new(DATAGRAMS_PER_SECOND, DATAGRAM_BURST),
         }
     }
 
--- a/crates/coordination/src/fleet/mod.rs
+++ b/crates/coordination/src/fleet/mod.rs
@@ -1,12 +1,13 @@
-//! What a node knows of the fleet: the table in force and the servers.
+//! The fleet as this node knows it: the configuration table in force and the directory
+//! of servers.
 //!
-//! - [`config`]: the table, which only goes forward;
-//! - [`membership`]: which nodes exist and how they stand;
-//! - [`leaving`]: this node's own planned stop;
-//! - [`poll`]: when the platform's service is read.
+//! - [`config`]: the table, which is only replaced by a newer version;
+//! - [`membership`]: which nodes exist and whether they answer;
+//! - [`leaving`]: announces that this node leaves;
+//! - [`poll`]: schedules the reads of the platform's service.
 //!
-//! Nodes tell each other by datagrams, any of which may be lost. The platform's
-//! service may be down or lag; it is read, but peers are asked first.
+//! Nodes exchange datagrams, any of which may be lost. The platform's service may be
+//! down or lag; it is read, but peers are asked first.
 
 mod budget;
 mod config;
@@ -38,28 +39,31 @@
 pub use membership::member::{Listing, Member};
 pub use report::{FleetReport, TableSource};
 
-/// Between two ticks: a probe without an answer is repeated in each, a new one
-/// is begun in every second.
+/// Time between two ticks. A probe without an answer is repeated in each tick, a new
+/// one is started in every second tick.
 const TICK: Duration = Duration::from_millis(500);
-/// Share by which a tick is varied, so that nodes do not tick together.
+/// Fraction by which the time between ticks is varied at random, so that nodes do not
+/// tick simultaneously.
 const TICK_JITTER: f64 = 0.1;
-/// A tick this late means that the process did not run meanwhile.
+/// An event that is handled this long after the scheduled tick means that the process
+/// was paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
-/// Between two rounds of asking peers while this node is in doubt.
+/// Time between two rounds of asking peers while the table is not confirmed.
 const ASK_INTERVAL: Duration = Duration::from_millis(100);
-/// Nodes to which a change of the table is pushed by each that accepts it.
+/// Number of nodes to which each node that accepts a table pushes the change.
 const TABLE_FANOUT: usize = 6;
 
 const TABLE_READS: ReadRate = ReadRate {
-    with_news: 360,
-    without_news: 60,
+    with_changes: 360,
+    without_changes: 60,
 };
 const LIST_READS: ReadRate = ReadRate {
-    with_news: 120,
-    without_news: 12,
+    with_changes: 120,
+    without_changes: 12,
 };
 
-/// Keeps the table in force and the directory of servers.
+/// State machine that keeps the table in force and the directory of servers up to
+/// date.
 #[derive(Debug)]
 pub struct Fleet {
     node: NodeId,
@@ -68,15 +72,15 @@
     leaving: Leaving,
     view: View,
     next_tick: Option<Timestamp>,
-    /// When peers are asked again, while this node is in doubt.
-    next_ask: Timestamp,
+    /// When peers are asked again while the table is not confirmed.
+    next_ask_at: Timestamp,
     table_poll: Poll,
     list_poll: Poll,
     random: ChaCha8Rng,
 }
 
 impl Fleet {
-    /// A fleet of which nothing is known yet but this node's own settings.
+    /// Starts a node that knows nothing of the fleet except its own settings.
     pub fn new(settings: FleetSettings) -> Self {
         let seed = settings.seed ^ settings.node.as_u64().rotate_left(u32::BITS);
         Fleet {
@@ -86,15 +90,16 @@
             leaving: Leaving::default(),
             view: View::default(),
             next_tick: None,
-            next_ask: Timestamp::ZERO,
+            next_ask_at: Timestamp::ZERO,
             table_poll: Poll::new(TABLE_READS),
             list_poll: Poll::new(LIST_READS),
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// A node that knows the members and the table that `other` knows, as if it
-    /// had compared all with it. Simulations begin with a settled fleet by it.
+    /// Starts a node that knows the members and the table that `other` knows, as if it
+    /// had synchronized with it. Simulations use this to begin with a fleet whose nodes
+    /// already know each other.
     pub fn new_informed(settings: FleetSettings, other: &Fleet) -> Self {
         let mut fleet = Fleet::new(settings);
         fleet.membership.copy_members_from(&other.membership);
@@ -103,7 +108,7 @@
         fleet
     }
 
-    /// What is known now.
+    /// The current table and directory, on which decisions are based.
     pub fn view(&self) -> &View {
         &self.view
     }
@@ -113,45 +118,46 @@
         self.configuration.version()
     }
 
-    /// This life of the node; it grows when the node refutes that it is gone.
+    /// The current incarnation of this node; it grows when the node refutes that it is
+    /// suspected or removed.
     pub fn incarnation(&self) -> Incarnation {
         self.membership.incarnation()
     }
 
-    /// Whether the table in force may be acted on: false from the start, and
-    /// after a pause, until peers were asked whether they have a newer one.
+    /// Whether this node may act on the table in force. False after the start and after
+    /// a pause, until peers were asked whether they have a newer one.
     pub fn is_confirmed(&self) -> bool {
         self.configuration.is_confirmed()
     }
 
-    /// Whether this node takes new work: false once it leaves.
+    /// Whether this node takes new work; false while it leaves.
     pub fn takes_new_work(&self) -> bool {
         self.membership.takes_new_work()
     }
 
-    /// All members known, this node included, ordered by node.
+    /// All known members, including this node, ordered by node.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.membership.members()
     }
 
-    /// When [`FleetEvent::Wake`] is wanted next.
+    /// When [`FleetEvent::Wake`] must be delivered next.
     pub fn next_wake(&self) -> Option<Timestamp> {
         let mut next = self.next_tick.unwrap_or_default();
         if !self.is_confirmed() {
-            next = next.min(self.next_ask);
+            next = next.min(self.next_ask_at);
         }
         Some(next.min(self.table_poll.next()).min(self.list_poll.next()))
     }
 
-    /// Bytes of everything kept for the fleet.
+    /// Estimated memory used for the table and the members, in bytes.
     pub fn state_bytes(&self) -> usize {
         self.configuration.state_bytes() + self.membership.state_bytes()
     }
 
-    /// Takes in one event and appends what is to be done to `effects`.
+    /// Handles one event and appends the resulting actions to `effects`.
     pub fn handle(&mut self, now: Timestamp, event: FleetEvent, effects: &mut Vec<FleetEffect>) {
         let mut outbox = Outbox::default();
-        self.notice_pause(now, &mut outbox);
+        self.detect_pause(now, &mut outbox);
         match event {
             FleetEvent::TableFetched(Ok(table)) => self.table_fetched(table, &mut outbox),
             FleetEvent::MachinesFetched(Ok(machines)) => {
@@ -171,11 +177,11 @@
         self.emit(outbox, effects);
     }
 
-    /// At the start the bound for peers' answers begins with the first event,
-    /// whatever the local clock shows. After a pause this node doubts itself
-    /// first: probes under way say nothing about others, and peers may have a
-    /// newer table.
-    fn notice_pause(&mut self, now: Timestamp, outbox: &mut Outbox) {
+    /// Detects the start and pauses of the process. At the start, the time limit for
+    /// peers' answers begins with the first event, whatever the local clock shows. After
+    /// a pause, probes in progress say nothing about other nodes and peers may have a
+    /// newer table, so the probes are discarded and the table must be confirmed again.
+    fn detect_pause(&mut self, now: Timestamp, outbox: &mut Outbox) {
         let Some(expected) = self.next_tick else {
             self.next_tick = Some(now);
             self.configuration.reset_confirmation(now);
@@ -195,8 +201,8 @@
         if self.next_tick.is_none_or(|next| next <= now) {
             self.tick(now, outbox);
         }
-        if !self.is_confirmed() && self.next_ask <= now {
-            self.next_ask = now + ASK_INTERVAL;
+        if !self.is_confirmed() && self.next_ask_at <= now {
+            self.next_ask_at = now + ASK_INTERVAL;
             self.membership.ask_peers(outbox);
         }
         let members = self.membership.known_peers();
@@ -220,22 +226,23 @@
         };
         let known_peers = self.membership.known_peers();
         let accepted = self.configuration.tick(now, peer, known_peers, outbox);
-        self.table_changed(accepted, outbox);
+        self.publish_table(accepted, outbox);
     }
 
     fn table_fetched(&mut self, table: Arc<Table>, outbox: &mut Outbox) {
-        let in_doubt = !self.is_confirmed();
+        let unconfirmed = !self.is_confirmed();
         let accepted = self.configuration.offer_from_platform(table, outbox);
         let members = self.membership.known_peers();
-        self.table_poll.succeeded(accepted || in_doubt, members);
-        self.table_changed(accepted, outbox);
+        self.table_poll
+            .record_success(accepted || unconfirmed, members);
+        self.publish_table(accepted, outbox);
     }
 
     fn machines_fetched(&mut self, now: Timestamp, machines: &[Machine], outbox: &mut Outbox) {
         let known_before = self.membership.known_peers();
         let change = self.membership.apply_list(now, machines, outbox);
         let members = self.membership.known_peers();
-        self.list_poll.succeeded(change.news, members);
+        self.list_poll.record_success(change.changed, members);
         if let Some(own) = change.own {
             self.leaving
                 .handle_own_listing(now, own, &mut self.membership, outbox);
@@ -279,7 +286,7 @@
             }
             FleetBody::Ack { sequence, updates } => {
                 let trusted = membership.handle_ack(now, from, sequence, updates, outbox);
-                self.peer_answered(now, from, header, trusted, outbox);
+                self.handle_peer_answer(now, from, header, trusted, outbox);
             }
             FleetBody::IndirectPing { sequence, target } => {
                 membership.relay_ping(from, sequence, target, outbox);
@@ -300,12 +307,12 @@
             }
             FleetBody::TablePage(page) => {
                 let accepted = self.configuration.handle_page(now, from, page, outbox);
-                self.table_changed(accepted, outbox);
+                self.publish_table(accepted, outbox);
             }
         }
     }
 
-    fn peer_answered(
+    fn handle_peer_answer(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -319,11 +326,12 @@
         self.configuration.record_peer_answer(from, header.table);
         let known_peers = self.membership.known_peers();
         let accepted = self.configuration.try_confirm(now, known_peers, outbox);
-        self.table_changed(accepted, outbox);
+        self.publish_table(accepted, outbox);
     }
 
-    /// A table that came into force is shown to decisions and to a few others.
-    fn table_changed(&mut self, accepted: bool, outbox: &mut Outbox) {
+    /// If a table came into force, updates the view that decisions use and pushes the
+    /// change to a few other nodes.
+    fn publish_table(&mut self, accepted: bool, outbox: &mut Outbox) {
         if !accepted {
             return;
         }
@@ -341,12 +349,12 @@
     }
 
     fn refresh_directory(&mut self) {
-        let touched = self.membership.take_outdated_entries();
-        if touched.is_empty() {
+        let outdated = self.membership.take_outdated_entries();
+        if outdated.is_empty() {
             return;
         }
         let directory = Arc::make_mut(&mut self.view.directory);
-        for (node, services_before) in touched {
+        for (node, services_before) in outdated {
             directory::refresh(directory, &self.membership, node, &services_before);
         }
     }
--- a/crates/coordination/src/fleet/outbox.rs
+++ b/crates/coordination/src/fleet/outbox.rs
@@ -1,31 +1,31 @@
-//! What one event makes the fleet part say, collected until the event is handled.
+//! Collects the messages and reports that result from one event until it is handled.
 
 use lifthollow_protocol::control::{FleetBody, MemberRecord};
 use lifthollow_state::NodeId;
 
 use super::report::FleetReport;
 
-/// Messages and reports of one event.
+/// Messages and reports that result from one event.
 #[derive(Debug, Default)]
 pub(super) struct Outbox {
-    /// Messages to nodes, in the order of sending.
+    /// Receivers and bodies of the messages, in the order of sending.
     pub messages: Vec<(NodeId, FleetBody)>,
-    /// Reports to operators.
+    /// Reports to operators, in the order of reporting.
     pub reports: Vec<FleetReport>,
 }
 
 impl Outbox {
-    /// Sends `body` to a node.
+    /// Queues a message with `body` to node `to`.
     pub fn send(&mut self, to: NodeId, body: FleetBody) {
         self.messages.push((to, body));
     }
 
-    /// Sends records of members to a node outside of a probe.
+    /// Queues a message with member records to node `to`, independent of probes.
     pub fn send_updates(&mut self, to: NodeId, updates: Vec<MemberRecord>) {
         self.send(to, FleetBody::Updates { updates });
     }
 
-    /// Tells operators.
+    /// Queues a report to operators.
     pub fn report(&mut self, report: FleetReport) {
         self.reports.push(report);
     }
--- a/crates/coordination/src/fleet/poll.rs
+++ b/crates/coordination/src/fleet/poll.rs
@@ -1,9 +1,9 @@
-//! When the platform's service is read.
+//! Schedules the reads of the platform's service.
 //!
-//! The whole fleet together reads it at a bounded rate, however many nodes there
-//! are. A node whose reads bring what peers already told it reads less often; one
-//! whose reads bring news, perhaps because few others can reach the service,
-//! reads more often.
+//! The whole fleet together reads it at a bounded rate, however many nodes there are.
+//! A node whose reads return what peers already sent reads less often. A node whose
+//! reads return something new, perhaps because few others can reach the service, reads
+//! more often.
 
 use std::time::Duration;
 
@@ -11,21 +11,22 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Reads a second of the whole fleet, at which intervals aim.
+/// Target rates of the reads of the whole fleet, in reads per second.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReadRate {
-    /// While reads bring news.
-    pub with_news: u32,
-    /// While they do not.
-    pub without_news: u32,
+    /// Rate in reads per second if every node's reads return changes.
+    pub with_changes: u32,
+    /// Rate in reads per second if no node's reads return changes.
+    pub without_changes: u32,
 }
 
-/// Between reads at least.
+/// Minimum time between two reads of one node.
 const SHORTEST_INTERVAL: Duration = Duration::from_secs(1);
-/// Share by which an interval is varied, so that nodes do not read together.
+/// Fraction by which an interval is varied at random, so that nodes do not read
+/// simultaneously.
 const JITTER: f64 = 0.2;
 
-/// The schedule of reading one thing.
+/// Schedule of the reads of one resource of the platform.
 #[derive(Debug)]
 pub(super) struct Poll {
     rate: ReadRate,
@@ -34,7 +35,7 @@
 }
 
 impl Poll {
-    /// The first read is due at once.
+    /// Starts a schedule whose first read is due immediately.
     pub fn new(rate: ReadRate) -> Self {
         Poll {
             rate,
@@ -48,27 +49,30 @@
         self.next
     }
 
-    /// Whether a read is due; if so, the next one is scheduled.
+    /// Returns whether a read is due; if so, schedules the next one. `members` is the
+    /// number of nodes that share the rate.
     pub fn is_due(&mut self, now: Timestamp, members: usize, random: &mut ChaCha8Rng) -> bool {
         if now < self.next {
             return false;
         }
-        self.interval = self.interval.max(interval(self.rate.with_news, members));
+        self.interval = self.interval.max(interval(self.rate.with_changes, members));
         let jitter = random.random_range(1.0 - JITTER..1.0 + JITTER);
         self.next = now + self.interval.mul_f64(jitter);
         true
     }
 
-    /// A read has succeeded and brought news or not.
-    pub fn succeeded(&mut self, news: bool, members: usize) {
-        self.interval = match news {
-            true => interval(self.rate.with_news, members),
-            false => (self.interval * 2).min(interval(self.rate.without_news, members)),
+    /// Adapts the interval after a successful read; `changed` is whether it returned
+    /// something new.
+    pub fn record_success(&mut self, changed: bool, members: usize) {
+        self.interval = match changed {
+            true => interval(self.rate.with_changes, members),
+            false => (self.interval * 2).min(interval(self.rate.without_changes, members)),
         };
     }
 }
 
-/// The interval of one of `members` nodes that together read `rate` times a second.
+/// The interval for each of `members` nodes that together read `rate` times per
+/// second.
 fn interval(rate: u32, members: usize) -> Duration {
     Duration::from_secs_f64(members as f64 / f64::from(rate)).max(SHORTEST_INTERVAL)
 }
--- a/crates/coordination/src/fleet/report.rs
+++ b/crates/coordination/src/fleet/report.rs
@@ -1,93 +1,93 @@
-//! What the fleet part tells operators.
+//! Reports of the fleet state machine to operators.
 
 use std::fmt;
 use std::time::Duration;
 
 use lifthollow_state::{Incarnation, NodeId, TableVersion, Zone};
 
-/// Something operators should see in the log.
+/// An event that operators should see in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetReport {
     /// A table came into force.
     TableAccepted {
-        /// Its version.
+        /// The version of the table.
         version: TableVersion,
-        /// Where it came from.
+        /// The source of the table.
         source: TableSource,
     },
-    /// Two tables carry one number. The one with the larger digest is kept.
+    /// Two different tables have the same number. The one with the larger digest is kept.
     ConflictingVersion {
-        /// The version kept.
+        /// The version that is kept.
         kept: TableVersion,
-        /// The version discarded.
+        /// The version that is discarded.
         discarded: TableVersion,
     },
     /// The platform's service offers an older table than the one in force.
     StalePlatformTable {
-        /// The version offered.
+        /// The version that the platform offers.
         offered: TableVersion,
-        /// The version in force.
+        /// The version in force on this node.
         in_force: TableVersion,
     },
-    /// Rows received from a peer did not amount to the version they were sent
-    /// for; they were discarded.
+    /// The digest of the rows received from a peer did not match the announced version,
+    /// so the rows were discarded.
     TableDigestMismatch {
-        /// The peer.
+        /// The peer that sent the rows.
         from: NodeId,
-        /// The version announced.
+        /// The version that the peer announced.
         expected: TableVersion,
-        /// The version that resulted.
+        /// The version of the table built from the rows.
         found: TableVersion,
     },
-    /// No peer answered within the bound, so the platform's table was accepted
-    /// without asking.
+    /// No peer answered within the time limit, so the platform's table was accepted
+    /// without the confirmation of peers.
     StartedWithoutPeers,
-    /// A member does not answer, or another node says so.
+    /// A member does not answer this node, or another node reported that.
     MemberSuspected {
-        /// The member.
+        /// The member that the report is about.
         node: NodeId,
-        /// The life that is meant.
+        /// The incarnation of the member that the report is about.
         incarnation: Incarnation,
     },
     /// A member answers again.
     MemberAlive {
-        /// The member.
+        /// The member that the report is about.
         node: NodeId,
-        /// The life that is meant.
+        /// The incarnation of the member that the report is about.
         incarnation: Incarnation,
     },
-    /// A member stops as planned.
+    /// A member leaves the fleet.
     MemberLeaving {
-        /// The member.
+        /// The member that the report is about.
         node: NodeId,
-        /// The life that is meant.
+        /// The incarnation of the member that the report is about.
         incarnation: Incarnation,
     },
-    /// A member was forgotten.
+    /// A member was removed from the fleet.
     MemberRemoved {
-        /// The member.
+        /// The member that the report is about.
         node: NodeId,
-        /// The life that is meant.
+        /// The incarnation of the member that the report is about.
         incarnation: Incarnation,
     },
-    /// Nobody in a zone answers this node.
+    /// No member of a zone answers this node.
     ZoneUnreachable {
-        /// The zone.
+        /// The zone that the report is about.
         zone: Zone,
     },
     /// A zone answers this node again.
     ZoneReachable {
-        /// The zone.
+        /// The zone that the report is about.
         zone: Zone,
     },
-    /// This process was paused.
+    /// This process was paused and has resumed.
     Paused {
-        /// How long.
+        /// Time by which the process missed its scheduled tick.
         paused_for: Duration,
     },
 }
 
-/// Where a table came from.
+/// The source of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TableSource {
     /// The platform's configuration service.
@@ -97,7 +97,7 @@
 }
 
 impl FleetReport {
-    /// The stable word in logs.
+    /// The stable name of the report in logs.
     pub fn as_str(&self) -> &'static str {
         match self {
             FleetReport::TableAccepted { .. } => "table_accepted",
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Whether operators should act on it.
+    /// Whether operators should act on the report.
     pub fn is_warning(&self) -> bool {
         matches!(
             self,
@@ -129,7 +129,7 @@
     }
 }
 
-/// The word, then the values.
+/// Writes the name of the report, followed by its values.
 impl fmt::Display for FleetReport {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}", self.as_str())?;
--- a/crates/coordination/tests/fleet_configuration.rs
+++ b/crates/coordination/tests/fleet_configuration.rs
@@ -47,7 +47,8 @@
     for _ in 0..200 {
         network.run(Duration::from_millis(10));
         let fleet = network.fleet(3);
-        let resumed = network.reported(|report| matches!(report, FleetReport::Paused { .. })) > 0;
+        let resumed =
+            network.count_reports(|report| matches!(report, FleetReport::Paused { .. })) > 0;
         confirmed_on_old_table |=
             resumed && fleet.is_confirmed() && fleet.table_version().number == 1;
     }
@@ -83,7 +84,7 @@
     assert_eq!(network.fleet(4).table_version().number, 0);
     network.run(Duration::from_millis(700));
     assert_eq!(network.fleet(4).table_version().number, 3);
-    let reported = network.reported(|report| *report == FleetReport::StartedWithoutPeers);
+    let reported = network.count_reports(|report| *report == FleetReport::StartedWithoutPeers);
     assert_eq!(reported, 1);
 }
 
@@ -94,7 +95,7 @@
     network.run(Duration::from_secs(30));
     assert!(versions(&network).iter().all(|version| version.number == 9));
     let stale = |report: &FleetReport| matches!(report, FleetReport::StalePlatformTable { .. });
-    assert_eq!(network.reported(stale), 1);
+    assert_eq!(network.count_reports(stale), 1);
 }
 
 #[test]
@@ -109,13 +110,13 @@
     network.run(Duration::from_secs(10));
     assert!(versions(&network).iter().all(|version| *version == winner));
     let conflict = |report: &FleetReport| matches!(report, FleetReport::ConflictingVersion { kept, .. } if *kept == winner);
-    assert!(network.reported(conflict) > 0);
+    assert!(network.count_reports(conflict) > 0);
 }
 
 #[test]
 fn a_partitioned_fleet_converges_on_the_newer_version_after_it_heals() {
     let mut network = Network::settled(NODES, ZONES, &table(1, 50));
-    network.cut = Box::new(|from, to| (from <= node(6)) != (to <= node(6)));
+    network.drop_rule = Box::new(|from, to| (from <= node(6)) != (to <= node(6)));
     for number in 1..=6 {
         network.tables.insert(node(number), table(2, 60));
     }
@@ -125,7 +126,7 @@
     network.run(Duration::from_secs(60));
     assert_eq!(network.fleet(1).table_version().number, 2);
     assert_eq!(network.fleet(12).table_version().number, 3);
-    network.cut = Box::new(|_, _| false);
+    network.drop_rule = Box::new(|_, _| false);
     network.tables.clear();
     network.run(Duration::from_secs(15));
     assert!(versions(&network).iter().all(|version| version.number == 3));
@@ -151,7 +152,7 @@
     network.tables.insert(node(5), table(2, 60));
     network.run(Duration::from_secs(5));
     let mismatch = |report: &FleetReport| matches!(report, FleetReport::TableDigestMismatch { .. });
-    assert!(network.reported(mismatch) > 0);
+    assert!(network.count_reports(mismatch) > 0);
     assert_eq!(network.fleet(2).table_version(), table(2, 60).version());
 }
 
@@ -193,7 +194,7 @@
 fn an_older_version_is_never_accepted_after_a_newer_one() {
     let mut network = Network::settled(NODES, ZONES, &table(4, 50));
     let older = table(3, 99);
-    network.tell(1, FleetEvent::TableFetched(Ok(older.clone())));
+    network.inject_event(1, FleetEvent::TableFetched(Ok(older.clone())));
     let mut page = TablePage::empty(None, older.version(), None);
     for row in older.rows() {
         page.push_row(row);
@@ -203,6 +204,6 @@
         body: FleetBody::TablePage(page),
     });
     let from = node(2);
-    network.tell(1, FleetEvent::Message { from, message });
+    network.inject_event(1, FleetEvent::Message { from, message });
     assert_eq!(network.fleet(1).table_version().number, 4);
 }
--- a/crates/coordination/tests/fleet_leaving.rs
+++ b/crates/coordination/tests/fleet_leaving.rs
@@ -38,7 +38,7 @@
 fn a_planned_stop_reaches_all_nodes_in_time_although_the_list_lags() {
     let mut network = settled_network();
     network.loss = 0.05;
-    network.tell(5, FleetEvent::Leave);
+    network.inject_event(5, FleetEvent::Leave);
     assert!(!network.fleet(5).takes_new_work());
     network.run(CONVERGENCE);
     assert_eq!(observers_seeing_serving(&network, 5), 0);
@@ -65,7 +65,7 @@
     {
         machine.leaving = true;
     }
-    network.tell(9, FleetEvent::MachinesFetched(Ok(machines)));
+    network.inject_event(9, FleetEvent::MachinesFetched(Ok(machines)));
     network.run(CONVERGENCE);
     assert_eq!(observers_seeing_serving(&network, 5), 0);
     assert!(!network.fleet(5).takes_new_work());
@@ -74,8 +74,8 @@
 #[test]
 fn a_leaving_node_whose_messages_are_lost_immediately_refuses_new_work() {
     let mut network = settled_network();
-    network.cut = Box::new(|from, _| from == node(5));
-    network.tell(5, FleetEvent::Leave);
+    network.drop_rule = Box::new(|from, _| from == node(5));
+    network.inject_event(5, FleetEvent::Leave);
     assert!(!network.fleet(5).takes_new_work());
 }
 
@@ -83,12 +83,12 @@
 fn both_sides_of_a_partition_stop_using_a_node_that_leaves() {
     let mut network = settled_network();
     let in_zone_zero = |node| fleet_network::zone(node, ZONES) == 0;
-    network.cut = Box::new(move |from, to| in_zone_zero(from) != in_zone_zero(to));
+    network.drop_rule = Box::new(move |from, to| in_zone_zero(from) != in_zone_zero(to));
     network.run(Duration::from_secs(15));
-    network.tell(6, FleetEvent::Leave);
+    network.inject_event(6, FleetEvent::Leave);
     network.run(CONVERGENCE);
     assert_eq!(observers_seeing_serving(&network, 6), 0);
-    network.cut = Box::new(|_, _| false);
+    network.drop_rule = Box::new(|_, _| false);
     network.run(CONVERGENCE);
     assert_eq!(observers_seeing_serving(&network, 6), 0);
 }
@@ -96,7 +96,7 @@
 #[test]
 fn a_planned_stop_is_not_undone_by_a_list_that_shows_the_node_as_live() {
     let mut network = settled_network();
-    network.tell(5, FleetEvent::Leave);
+    network.inject_event(5, FleetEvent::Leave);
     network.run(Duration::from_secs(20));
     assert_eq!(observers_seeing_serving(&network, 5), 0);
     assert!(!network.fleet(5).takes_new_work());
--- a/crates/coordination/tests/fleet_membership.rs
+++ b/crates/coordination/tests/fleet_membership.rs
@@ -23,11 +23,11 @@
 }
 
 fn removals(network: &Network) -> usize {
-    network.reported(|report| matches!(report, FleetReport::MemberRemoved { .. }))
+    network.count_reports(|report| matches!(report, FleetReport::MemberRemoved { .. }))
 }
 
 fn suspicions(network: &Network) -> usize {
-    network.reported(|report| matches!(report, FleetReport::MemberSuspected { .. }))
+    network.count_reports(|report| matches!(report, FleetReport::MemberSuspected { .. }))
 }
 
 /// Number of other nodes whose directory shows node `number` in `state`.
@@ -124,7 +124,7 @@
 #[test]
 fn a_member_with_one_broken_path_to_one_node_is_not_suspected() {
     let mut network = settled_network();
-    network.cut = Box::new(|from, to| from == node(5) && to == node(6));
+    network.drop_rule = Box::new(|from, to| from == node(5) && to == node(6));
     network.run(Duration::from_secs(60));
     assert_eq!(observers_seeing(&network, 5, SERVING), NODES as usize - 1);
     assert_eq!(suspicions(&network), 0);
@@ -133,7 +133,7 @@
 #[test]
 fn a_node_that_receives_nothing_suspects_no_member() {
     let mut network = settled_network();
-    network.cut = Box::new(|_, to| to == node(6));
+    network.drop_rule = Box::new(|_, to| to == node(6));
     network.run(Duration::from_secs(60));
     let accusations = network.reports.iter().filter(|(_, reporter, report)| {
         *reporter == node(6) && matches!(report, FleetReport::MemberSuspected { .. })
@@ -160,7 +160,7 @@
         },
     });
     let from = node(7);
-    network.tell(6, FleetEvent::Message { from, message });
+    network.inject_event(6, FleetEvent::Message { from, message });
     assert_eq!(network.state(6, 5), SUSPECTED);
     network.run(Duration::from_secs(5));
     assert!(network.fleet(5).incarnation() > before);
@@ -183,14 +183,14 @@
 fn a_partition_removes_no_member_and_the_views_merge_after_it() {
     let mut network = settled_network();
     let in_zone_zero = |node| fleet_network::zone(node, ZONES) == 0;
-    network.cut = Box::new(move |from, to| in_zone_zero(from) != in_zone_zero(to));
+    network.drop_rule = Box::new(move |from, to| in_zone_zero(from) != in_zone_zero(to));
     network.run(Duration::from_secs(1_200));
     assert_eq!(removals(&network), 0);
     assert_eq!(network.state(1, 3), SUSPECTED);
     assert_eq!(network.state(3, 1), SUSPECTED);
     assert_eq!(network.state(3, 6), SERVING);
     assert_eq!(network.state(1, 2), SERVING);
-    network.cut = Box::new(|_, _| false);
+    network.drop_rule = Box::new(|_, _| false);
     network.run(Duration::from_secs(15));
     for number in 1..=NODES {
         assert_eq!(
--- a/crates/coordination/tests/fleet_network/mod.rs
+++ b/crates/coordination/tests/fleet_network/mod.rs
@@ -1,5 +1,5 @@
-//! A small network of fleet parts on a virtual clock, for the tests beside it.
-#![allow(dead_code)] // each test file uses its own part
+//! Simulates a small network of fleet state machines on a virtual clock.
+#![allow(dead_code)] // each test file uses other functions
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -35,7 +35,7 @@
     ServiceName::new(&format!("service-{}", number % 4))
 }
 
-/// A row of the table.
+/// A table row of the service with this number.
 pub fn row(service_number: u64, weight: u32) -> TableRow {
     TableRow {
         service: service(service_number),
@@ -56,7 +56,7 @@
     Arc::new(Table::new(number, rows))
 }
 
-enum Happening {
+enum SimulatedEvent {
     Wake(NodeId),
     Deliver {
         from: NodeId,
@@ -68,7 +68,7 @@
 struct Scheduled {
     at: Timestamp,
     order: u64,
-    happening: Happening,
+    simulated_event: SimulatedEvent,
 }
 
 impl PartialEq for Scheduled {
@@ -88,22 +88,23 @@
     }
 }
 
-/// Whether a datagram from one node to another is lost on the way.
-pub type Cut = Box<dyn Fn(NodeId, NodeId) -> bool>;
-/// Changes a datagram on the way.
+/// Returns whether datagrams from the first node to the second are dropped.
+pub type DropRule = Box<dyn Fn(NodeId, NodeId) -> bool>;
+/// Changes a datagram in transit from the first node to the second.
 pub type Tamper = Box<dyn FnMut(NodeId, NodeId, &mut ControlMessage)>;
 
-/// Nodes, the paths between them, and what the platform answers to each.
+/// Nodes, the network between them, and the platform's answers to each node.
 pub struct Network {
     pub now: Timestamp,
     pub fleets: BTreeMap<NodeId, Fleet>,
     pub reports: Vec<(Timestamp, NodeId, FleetReport)>,
     pub tables: BTreeMap<NodeId, Arc<Table>>,
     pub machines: Option<Vec<Machine>>,
-    pub cut: Cut,
+    pub drop_rule: DropRule,
     pub tamper: Option<Tamper>,
     pub loss: f64,
-    /// Datagrams are delayed by up to this much more, so that they overtake others.
+    /// Upper bound of the random additional delay of a datagram, which reorders
+    /// datagrams.
     pub jitter: Duration,
     paused_until: BTreeMap<NodeId, Timestamp>,
     queue: BinaryHeap<Reverse<Scheduled>>,
@@ -112,7 +113,8 @@
 }
 
 impl Network {
-    /// Nobody runs yet; the platform lists nodes 1 to `count` in `zones` zones.
+    /// Creates a network without running nodes; the platform lists nodes 1 to `count` in
+    /// `zones` zones.
     pub fn new(count: u64, zones: u64) -> Self {
         Network {
             now: Timestamp::ZERO,
@@ -120,7 +122,7 @@
             reports: Vec::new(),
             tables: BTreeMap::new(),
             machines: Some((1..=count).map(|number| machine(number, zones)).collect()),
-            cut: Box::new(|_, _| false),
+            drop_rule: Box::new(|_, _| false),
             tamper: None,
             loss: 0.0,
             jitter: Duration::ZERO,
@@ -147,12 +149,12 @@
         network
     }
 
-    /// Starts, or starts again, node `number` with nothing.
-    pub fn start(&mut self, number: u64, zones: u64, life: u64) {
+    /// Starts or restarts node `number` without any state.
+    pub fn start(&mut self, number: u64, zones: u64, start_number: u64) {
         let machine = machine(number, zones);
         let fleet = Fleet::new(FleetSettings {
             node: machine.node,
-            incarnation: Incarnation(life * 1_000),
+            incarnation: Incarnation(start_number * 1_000),
             side: machine.side,
             zone: machine.zone,
             services: vec![machine.service],
@@ -160,15 +162,15 @@
             seed: number,
         });
         self.fleets.insert(node(number), fleet);
-        self.schedule(self.now, Happening::Wake(node(number)));
+        self.schedule(self.now, SimulatedEvent::Wake(node(number)));
     }
 
-    /// Ends node `number` without a word.
+    /// Stops node `number` without a message to others.
     pub fn kill(&mut self, number: u64) {
         self.fleets.remove(&node(number));
     }
 
-    /// Node `number` does not run for a while; datagrams wait for it meanwhile.
+    /// Pauses node `number`; datagrams to it are delivered when it resumes.
     pub fn pause(&mut self, number: u64, duration: Duration) {
         self.paused_until.insert(node(number), self.now + duration);
     }
@@ -177,26 +179,26 @@
         &self.fleets[&node(number)]
     }
 
-    /// What `observer` believes of `number` as a server.
+    /// State of node `number` in the directory of node `observer`.
     pub fn state(&self, observer: u64, number: u64) -> Option<ServerState> {
         let directory = &self.fleet(observer).view().directory;
         let server = directory.server(&service(number), node(number));
         server.map(|server| server.state)
     }
 
-    /// Gives a node an event from outside.
-    pub fn tell(&mut self, number: u64, event: FleetEvent) {
+    /// Lets node `number` handle an event.
+    pub fn inject_event(&mut self, number: u64, event: FleetEvent) {
         self.handle(node(number), event);
     }
 
-    pub fn reported(&self, wanted: impl Fn(&FleetReport) -> bool) -> usize {
+    pub fn count_reports(&self, predicate: impl Fn(&FleetReport) -> bool) -> usize {
         self.reports
             .iter()
-            .filter(|(_, _, report)| wanted(report))
+            .filter(|(_, _, report)| predicate(report))
             .count()
     }
 
-    /// Lets time pass.
+    /// Advances the virtual clock by `duration` and processes all events until then.
     pub fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self
@@ -208,24 +210,24 @@
                 break;
             };
             self.now = next.at;
-            self.happen(next.happening);
+            self.process(next.simulated_event);
         }
         self.now = end;
     }
 
-    fn happen(&mut self, happening: Happening) {
-        let receiver = match &happening {
-            Happening::Wake(node) => *node,
-            Happening::Deliver { to, .. } => *to,
+    fn process(&mut self, simulated_event: SimulatedEvent) {
+        let receiver = match &simulated_event {
+            SimulatedEvent::Wake(node) => *node,
+            SimulatedEvent::Deliver { to, .. } => *to,
         };
-        let resumes = self.paused_until.get(&receiver).copied();
-        if let Some(resumes) = resumes.filter(|resumes| *resumes > self.now) {
-            self.schedule(resumes, happening);
+        let resumes_at = self.paused_until.get(&receiver).copied();
+        if let Some(resumes_at) = resumes_at.filter(|resumes_at| *resumes_at > self.now) {
+            self.schedule(resumes_at, simulated_event);
             return;
         }
-        match happening {
-            Happening::Wake(node) => self.wake(node),
-            Happening::Deliver { from, to, message } => {
+        match simulated_event {
+            SimulatedEvent::Wake(node) => self.wake(node),
+            SimulatedEvent::Deliver { from, to, message } => {
                 let message = *message;
                 self.handle(to, FleetEvent::Message { from, message });
             }
@@ -238,7 +240,7 @@
             return;
         };
         let next = fleet.next_wake().unwrap_or(self.now);
-        self.schedule(next.max(self.now), Happening::Wake(node));
+        self.schedule(next.max(self.now), SimulatedEvent::Wake(node));
     }
 
     fn handle(&mut self, node: NodeId, event: FleetEvent) {
@@ -248,11 +250,11 @@
         let mut effects = Vec::new();
         fleet.handle(self.now, event, &mut effects);
         for effect in effects {
-            self.carry_out(node, effect);
+            self.apply_effect(node, effect);
         }
     }
 
-    fn carry_out(&mut self, node: NodeId, effect: FleetEffect) {
+    fn apply_effect(&mut self, node: NodeId, effect: FleetEffect) {
         match effect {
             FleetEffect::FetchTable => {
                 let answer = self.tables.get(&node).cloned().ok_or(FetchFailed);
@@ -268,7 +270,7 @@
     }
 
     fn send(&mut self, from: NodeId, to: NodeId, message: ControlMessage) {
-        if (self.cut)(from, to) || self.random.random_bool(self.loss) {
+        if (self.drop_rule)(from, to) || self.random.random_bool(self.loss) {
             return;
         }
         let datagram = message.encode().expect("every message fits a datagram");
@@ -278,16 +280,19 @@
         }
         let message = Box::new(message);
         let delay = DELAY + self.jitter.mul_f64(self.random.random());
-        self.schedule(self.now + delay, Happening::Deliver { from, to, message });
+        self.schedule(
+            self.now + delay,
+            SimulatedEvent::Deliver { from, to, message },
+        );
     }
 
-    fn schedule(&mut self, at: Timestamp, happening: Happening) {
+    fn schedule(&mut self, at: Timestamp, simulated_event: SimulatedEvent) {
         self.order += 1;
         let order = self.order;
         self.queue.push(Reverse(Scheduled {
             at,
             order,
-            happening,
+            simulated_event,
         }));
     }
 }
