--- a/crates/coordination/src/claims/claimant.rs
+++ b/crates/coordination/src/claims/claimant.rs
@@ -1,4 +1,5 @@
-//! Gets a key granted by a majority of its replicas before a call is run.
+//! Requests a claim on a key from the key's replicas and collects the votes, before a
+//! call runs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -17,29 +18,30 @@
 use super::tally::{Count, Tally};
 use crate::inbound::InboundId;
 
-/// Time after which a claim without a majority is given up.
+/// Time after which a claim that has no majority is given up.
 pub const CLAIM_TIMEOUT: Duration = Duration::from_millis(500);
 const RESEND_INTERVAL: Duration = Duration::from_millis(60);
-/// Rounds of one call, when concurrent claims on its key split the votes.
+/// Maximum number of rounds for one call if concurrent claims on its key split the
+/// votes.
 const MAX_ROUNDS: u32 = 5;
 const BACKOFF_MIN_MILLIS: u64 = 2;
 const BACKOFF_MAX_MILLIS: u64 = 12;
 
-/// What the claimant wants done.
+/// Actions that the caller must carry out for the claimant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimantEffect {
-    /// Send a message.
+    /// Send a message to a node, which may be this one.
     Send(Envelope),
-    /// A call's claim is decided.
+    /// Apply the decision on the claim of a call.
     Decided {
-        /// The call.
+        /// The call whose claim was decided.
         id: InboundId,
-        /// The decision.
+        /// The decision on the claim.
         decision: ClaimDecision,
     },
 }
 
-/// The claimant's part of the claims of one node.
+/// The claimant of one node: its undecided and granted claims.
 #[derive(Debug)]
 pub struct Claimant {
     settings: ClaimSettings,
@@ -52,7 +54,7 @@
 }
 
 impl Claimant {
-    /// A claimant without claims.
+    /// Creates a claimant without claims.
     pub fn new(settings: ClaimSettings) -> Self {
         let random = ChaCha8Rng::seed_from_u64(settings.seed);
         Claimant {
@@ -66,12 +68,12 @@
         }
     }
 
-    /// Claims asked for and not decided.
+    /// Number of undecided claims.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// When [`Claimant::wake`] is wanted next.
+    /// When [`Claimant::wake`] must be called next.
     pub fn next_wake(&self) -> Option<Timestamp> {
         let claims = self
             .pending
@@ -80,8 +82,8 @@
         claims.chain(self.deliveries.next_wake()).min()
     }
 
-    /// Claims the key of a call.
-    pub fn claim(
+    /// Requests a claim on the key of a call.
+    pub fn start_claim(
         &mut self,
         now: Timestamp,
         id: InboundId,
@@ -111,8 +113,9 @@
         self.pending.insert(id, pending);
     }
 
-    /// Takes in a replica's vote.
-    pub fn vote(
+    /// Counts a replica's vote and decides the claim if possible. A vote that arrives
+    /// after the start window begins the next round instead.
+    pub fn handle_vote(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -143,23 +146,23 @@
             }
             verdict => pending.tally.add(from, verdict),
         }
-        self.count(now, id, effects);
+        self.evaluate(now, id, effects);
     }
 
-    /// A replica has stored a release or a finish.
-    pub fn stored(&mut self, claim: ClaimId, by: NodeId) {
-        self.deliveries.confirmed(claim, by);
+    /// Records that replica `by` has stored a release or a finish.
+    pub fn record_stored(&mut self, claim: ClaimId, by: NodeId) {
+        self.deliveries.confirm(claim, by);
     }
 
-    /// The caller of a call whose claim is pending went away.
+    /// Releases the undecided claim of a call whose caller has disconnected or cancelled.
     pub fn abandon(&mut self, now: Timestamp, id: InboundId, effects: &mut Vec<ClaimantEffect>) {
         if let Some(pending) = self.remove(id) {
             self.release(now, &pending, effects);
         }
     }
 
-    /// A call whose claim was granted has ended.
-    pub fn run_ended(
+    /// Tells the replicas how a call with a granted claim ended.
+    pub fn end_run(
         &mut self,
         now: Timestamp,
         id: InboundId,
@@ -169,12 +172,12 @@
         let Some(granted) = self.granted.remove(&id) else {
             return;
         };
-        let message = granted.end(end);
+        let message = granted.end_message(end);
         self.deliver(now, granted.claim, &granted.replicas, message, effects);
     }
 
-    /// The process was paused or the roster changed: all claims are asked for
-    /// again, as new ones.
+    /// Replaces all undecided claims by new ones, after a pause of the process or a
+    /// change of the roster.
     pub fn restart_all(
         &mut self,
         now: Timestamp,
@@ -190,7 +193,7 @@
         }
     }
 
-    /// Sends again, begins next rounds and gives up.
+    /// Resends due messages, begins due rounds and gives up claims that timed out.
     pub fn wake(&mut self, now: Timestamp, roster: &Roster, effects: &mut Vec<ClaimantEffect>) {
         let resent = self.deliveries.wake(now);
         effects.extend(resent.into_iter().map(ClaimantEffect::Send));
@@ -211,7 +214,7 @@
             return;
         };
         if now >= pending.give_up_at {
-            let decision = pending.undecided();
+            let decision = pending.decision_without_majority();
             return self.give_up(now, id, decision, effects);
         }
         if now < pending.resend_at {
@@ -224,7 +227,7 @@
         send_requests(pending, effects);
     }
 
-    fn count(&mut self, now: Timestamp, id: InboundId, effects: &mut Vec<ClaimantEffect>) {
+    fn evaluate(&mut self, now: Timestamp, id: InboundId, effects: &mut Vec<ClaimantEffect>) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
@@ -254,8 +257,9 @@
         decide(id, ClaimDecision::Granted { start_before }, effects);
     }
 
-    /// Concurrent claims split the votes: gives the votes back and waits for a
-    /// random time. Without other claims on the key, waiting is of no use.
+    /// Releases a claim that cannot reach a majority and waits for a random time before
+    /// the next round, in case concurrent claims split the votes. If no replica reported
+    /// a holder, waiting cannot help and the claim is given up.
     fn back_off(&mut self, now: Timestamp, id: InboundId, effects: &mut Vec<ClaimantEffect>) {
         let wait = Duration::from_millis(
             self.random
@@ -265,18 +269,19 @@
             return;
         };
         if !pending.tally.is_held() || pending.round >= MAX_ROUNDS {
-            let decision = pending.undecided();
+            let decision = pending.decision_without_majority();
             return self.give_up(now, id, decision, effects);
         }
         pending.backing_off = true;
         pending.resend_at = now + wait * pending.round;
         let (claim, replicas) = (pending.claim, pending.replicas.clone());
-        let message = pending.release();
+        let message = pending.release_claim();
         self.ids.remove(&claim);
         self.deliver(now, claim, &replicas, message, effects);
     }
 
-    /// Drops all votes and asks anew under a new claim.
+    /// Releases the claim of a call and requests a new one, unless the call has timed
+    /// out or used all rounds.
     fn next_round(
         &mut self,
         now: Timestamp,
@@ -291,7 +296,7 @@
             self.release(now, &pending, effects);
         }
         if now >= pending.give_up_at || pending.round >= MAX_ROUNDS {
-            return decide(id, pending.undecided(), effects);
+            return decide(id, pending.decision_without_majority(), effects);
         }
         let claim = self.next_claim();
         let mut own_claims = pending.own_claims;
@@ -341,7 +346,7 @@
         pending: &PendingClaim,
         effects: &mut Vec<ClaimantEffect>,
     ) {
-        let message = pending.release();
+        let message = pending.release_claim();
         self.deliver(now, pending.claim, &pending.replicas, message, effects);
     }
 
--- a/crates/coordination/src/claims/decision.rs
+++ b/crates/coordination/src/claims/decision.rs
@@ -1,49 +1,50 @@
-//! How claims and the runs under them end.
+//! Decisions on claims, and the ends of the runs under them.
 
 use std::time::Duration;
 
 use lifthollow_protocol::{AttemptResult, RecordedAnswer, RecordedOutcome, RefusalReason};
 use lifthollow_state::{IdempotencyKey, Timestamp};
 
-/// What a caller is told to wait when too few replicas answered.
+/// Time after which a caller is told to retry if too few replicas granted its claim
+/// and none of them abstained.
 pub const NO_QUORUM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A call that may only be run under a claim.
+/// A call that may run only under a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimWanted {
-    /// Its key.
+    /// The idempotency key of the call.
     pub key: IdempotencyKey,
-    /// Digest of its method, path and body.
+    /// Digest of the method, path and body of the call.
     pub body_digest: u64,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting for the call.
     pub deadline: Timestamp,
 }
 
-/// How a claim was decided.
+/// The decision on a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimDecision {
-    /// The call may be run, if the run starts before the given time.
+    /// The call may run if the run starts before the given time.
     Granted {
         /// End of the claim's start window.
         start_before: Timestamp,
     },
-    /// The call ran before; its recorded answer is to be given.
+    /// The call ran before, and its recorded answer is returned to the caller.
     Replay(RecordedAnswer),
-    /// The call must not be run.
+    /// The call must not run.
     Refused(AttemptResult),
 }
 
-/// What became of a call whose claim was granted.
+/// The end of a call whose claim was granted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The run never started and never will.
+    /// The run has not started and will not start.
     NotStarted,
-    /// The run started, or may have.
+    /// The run started or may have started, and has this outcome.
     Ended(RecordedOutcome),
 }
 
 impl ClaimDecision {
-    /// The decision when a replica says that a run has ended.
+    /// The decision if a replica reports the outcome of an earlier run.
     pub fn from_outcome(outcome: &RecordedOutcome) -> Self {
         match outcome {
             RecordedOutcome::Completed(answer) => ClaimDecision::Replay(answer.clone()),
@@ -53,12 +54,12 @@
         }
     }
 
-    /// Too few replicas granted the claim.
+    /// The decision if too few replicas granted the claim.
     pub fn no_quorum(retry_after: Duration) -> Self {
         ClaimDecision::not_run(RefusalReason::NoQuorum, retry_after)
     }
 
-    /// The call did not run under this claim.
+    /// The refusal of a call that did not run.
     pub fn not_run(reason: RefusalReason, retry_after: Duration) -> Self {
         ClaimDecision::Refused(AttemptResult::NotRun {
             reason,
@@ -66,7 +67,7 @@
         })
     }
 
-    /// A call with the key may have run under another claim.
+    /// The refusal of a call that may have run under another claim.
     pub fn unknown(reason: RefusalReason) -> Self {
         ClaimDecision::Refused(AttemptResult::Unknown { reason })
     }
--- a/crates/coordination/src/claims/delivery.rs
+++ b/crates/coordination/src/claims/delivery.rs
@@ -1,4 +1,4 @@
-//! Releases and finishes are sent again until the replicas have stored them.
+//! Resends release and finish messages until the replicas have stored them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,28 +9,30 @@
 use super::replica::Envelope;
 
 const FIRST_RESEND: Duration = Duration::from_millis(100);
-/// Sends of one message to a silent replica. The interval doubles each time, so
-/// that the last comes about 50 s after the first.
+/// Number of times that a message is sent to a replica that does not confirm it. The
+/// interval doubles each time, so the last is sent about 50 s after the first.
 const MAX_SENDS: u32 = 10;
-/// Deliveries kept at once; the oldest are given up first.
+/// Maximum number of unconfirmed deliveries. When it is reached, the oldest is dropped
+/// for a new one.
 const MAX_DELIVERIES: usize = 4_096;
 
 #[derive(Debug)]
 struct PendingDelivery {
     message: ClaimMessage,
-    waiting_for: BTreeSet<NodeId>,
+    unconfirmed: BTreeSet<NodeId>,
     resend_at: Timestamp,
     sends: u32,
 }
 
-/// Messages about ended claims that some replicas have not confirmed.
+/// Messages about ended claims that not all replicas have confirmed.
 #[derive(Debug, Default)]
 pub struct Deliveries {
     pending: BTreeMap<ClaimId, PendingDelivery>,
 }
 
 impl Deliveries {
-    /// Sends `message`, which ends `claim`, to `replicas`.
+    /// Starts the delivery of `message`, which ends `claim`, to `replicas`, and returns
+    /// the first sends.
     pub fn start(
         &mut self,
         now: Timestamp,
@@ -43,7 +45,7 @@
         }
         let delivery = PendingDelivery {
             message,
-            waiting_for: replicas,
+            unconfirmed: replicas,
             resend_at: now + FIRST_RESEND,
             sends: 1,
         };
@@ -52,18 +54,18 @@
         envelopes
     }
 
-    /// A replica confirmed.
-    pub fn confirmed(&mut self, claim: ClaimId, by: NodeId) {
+    /// Records that replica `by` has stored the message that ends `claim`.
+    pub fn confirm(&mut self, claim: ClaimId, by: NodeId) {
         let Some(delivery) = self.pending.get_mut(&claim) else {
             return;
         };
-        delivery.waiting_for.remove(&by);
-        if delivery.waiting_for.is_empty() {
+        delivery.unconfirmed.remove(&by);
+        if delivery.unconfirmed.is_empty() {
             self.pending.remove(&claim);
         }
     }
 
-    /// When [`Deliveries::wake`] is wanted next.
+    /// When [`Deliveries::wake`] must be called next.
     pub fn next_wake(&self) -> Option<Timestamp> {
         self.pending
             .values()
@@ -71,7 +73,8 @@
             .min()
     }
 
-    /// Sends again what has not been confirmed.
+    /// Returns the due resends of unconfirmed messages, and drops deliveries that were
+    /// sent `MAX_SENDS` times.
     pub fn wake(&mut self, now: Timestamp) -> Vec<Envelope> {
         let mut envelopes = Vec::new();
         for delivery in self.pending.values_mut() {
@@ -92,5 +95,5 @@
         to: *to,
         message: delivery.message.clone(),
     };
-    delivery.waiting_for.iter().map(to_replica).collect()
+    delivery.unconfirmed.iter().map(to_replica).collect()
 }
--- a/crates/coordination/src/claims/gate.rs
+++ b/crates/coordination/src/claims/gate.rs
@@ -12,28 +12,28 @@
 };
 use crate::inbound::{Attempt, InboundEffect, InboundEvent, InboundId, RunResult};
 
-/// What the gate wants done.
+/// Actions that the caller must carry out for the gate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GateEffect {
     /// Send a message to another node.
     Send(Envelope),
-    /// Carry out an inbound effect.
+    /// Carry out an effect of the inbound side.
     Inbound(InboundEffect),
-    /// An admitted attempt is not run: its place at the back end is free.
+    /// An admitted attempt does not run: free its slot at the back end.
     NotRun {
-        /// The attempt.
+        /// The attempt that does not run.
         id: InboundId,
     },
 }
 
-/// Where an attempt with a key stands.
+/// Progress of an attempt with an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Not admitted yet.
+    /// The attempt is not admitted yet.
     Waiting,
-    /// Admitted; its claim is not decided.
+    /// The attempt is admitted and its claim is not decided.
     Claiming { deadline: Timestamp },
-    /// Being run, or about to be.
+    /// The claim is granted and the attempt runs or is about to run.
     Running { end: RunEnd },
 }
 
@@ -44,17 +44,17 @@
     phase: Phase,
 }
 
-/// The claims of a node as seen by its inbound side.
+/// Connects the inbound side of a node with its claims.
 #[derive(Debug)]
 pub struct ClaimGate {
     settings: ClaimSettings,
-    /// Made at the first event, since settings tell no time.
+    /// Created at the first event, because the start time is not known before.
     claims: Option<Claims>,
     attempts: BTreeMap<InboundId, KeyedAttempt>,
 }
 
 impl ClaimGate {
-    /// A gate that has seen nothing yet.
+    /// Creates a gate that has not handled any event.
     pub fn new(settings: ClaimSettings) -> Self {
         ClaimGate {
             settings,
@@ -63,61 +63,61 @@
         }
     }
 
-    /// What this node's replica knows of a key; none before the first event.
+    /// Reports what this node's replica knows of a key; `None` before the first event.
     pub fn report(&self, now: Timestamp, key: IdempotencyKey) -> Option<KeyReport> {
         Some(self.claims.as_ref()?.report(now, key))
     }
 
-    /// Whether records are yet to be handed over before a planned stop.
+    /// Whether a planned stop must still wait for the handover of records.
     pub fn is_handing_over(&self) -> bool {
         let claims = self.claims.as_ref();
         claims.is_some_and(|claims| claims.replica().is_handing_over())
     }
 
-    /// When [`ClaimGate::wake`] is wanted next.
+    /// When [`ClaimGate::wake`] must be called next.
     pub fn next_wake(&self) -> Option<Timestamp> {
         self.claims.as_ref()?.next_wake()
     }
 
-    /// Sends again, gives up and forgets what is due.
+    /// Handles all due resends, timeouts and expiries of the claims.
     pub fn wake(&mut self, now: Timestamp) -> Vec<GateEffect> {
-        self.claim_event(now, ClaimEvent::Wake)
+        self.apply_event(now, ClaimEvent::Wake)
     }
 
-    /// Takes in a message from another node.
+    /// Handles a message from another node.
     pub fn receive(
         &mut self,
         now: Timestamp,
         from: NodeId,
         message: ClaimMessage,
     ) -> Vec<GateEffect> {
-        self.claim_event(now, ClaimEvent::Received { from, message })
+        self.apply_event(now, ClaimEvent::Received { from, message })
     }
 
-    /// Takes in an inbound event, before it is decided on.
+    /// Observes an inbound event before the inbound side handles it.
     pub fn observe(&mut self, now: Timestamp, event: &InboundEvent) -> Vec<GateEffect> {
         match event {
-            InboundEvent::AttemptArrived { id, attempt } => self.arrived(*id, attempt),
-            InboundEvent::RunAnswered { id, result } => self.run_answered(*id, *result),
+            InboundEvent::AttemptArrived { id, attempt } => self.register_attempt(*id, attempt),
+            InboundEvent::RunAnswered { id, result } => self.handle_run_answer(*id, *result),
             InboundEvent::AnswerRecorded { id, outcome } => {
-                self.set_end(*id, RunEnd::Ended(outcome.clone()));
+                self.record_end(*id, RunEnd::Ended(outcome.clone()));
             }
-            InboundEvent::RunClosed { id } => return self.run_closed(now, *id),
-            InboundEvent::AttemptCancelled { id } => return self.cancelled(now, *id),
-            InboundEvent::Leave => return self.claim_event(now, ClaimEvent::Leave),
-            InboundEvent::Resumed { .. } => return self.claim_event(now, ClaimEvent::Resumed),
+            InboundEvent::RunClosed { id } => return self.handle_run_closed(now, *id),
+            InboundEvent::AttemptCancelled { id } => return self.handle_cancellation(now, *id),
+            InboundEvent::Leave => return self.apply_event(now, ClaimEvent::Leave),
+            InboundEvent::Resumed { .. } => return self.apply_event(now, ClaimEvent::Resumed),
             InboundEvent::HealthReported { .. } | InboundEvent::Wake => {}
         }
         Vec::new()
     }
 
-    /// Lets an inbound decision pass, except for the run of an attempt with a
-    /// key, which is claimed first.
+    /// Passes on an effect of the inbound side, except for the run of an attempt with a
+    /// key: this is claimed first.
     pub fn filter(&mut self, now: Timestamp, effect: InboundEffect) -> Vec<GateEffect> {
         if let InboundEffect::Run { id, deadline } = effect
             && self.attempts.contains_key(&id)
         {
-            return self.claim(now, id, deadline);
+            return self.request_claim(now, id, deadline);
         }
         if let InboundEffect::Answer { id, .. } = effect
             && self.is_waiting(id)
@@ -127,7 +127,7 @@
         vec![GateEffect::Inbound(effect)]
     }
 
-    fn arrived(&mut self, id: InboundId, attempt: &Attempt) {
+    fn register_attempt(&mut self, id: InboundId, attempt: &Attempt) {
         let Some(key) = attempt.context.idempotency_key else {
             return;
         };
@@ -144,7 +144,12 @@
         attempt.is_some_and(|attempt| attempt.phase == Phase::Waiting)
     }
 
-    fn claim(&mut self, now: Timestamp, id: InboundId, deadline: Timestamp) -> Vec<GateEffect> {
+    fn request_claim(
+        &mut self,
+        now: Timestamp,
+        id: InboundId,
+        deadline: Timestamp,
+    ) -> Vec<GateEffect> {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return Vec::new();
         };
@@ -154,16 +159,16 @@
             body_digest: attempt.body_digest,
             deadline,
         };
-        self.claim_event(now, ClaimEvent::Wanted { id, wanted })
+        self.apply_event(now, ClaimEvent::Wanted { id, wanted })
     }
 
-    fn run_answered(&mut self, id: InboundId, result: RunResult) {
+    fn handle_run_answer(&mut self, id: InboundId, result: RunResult) {
         if let RunResult::Refused { .. } = result {
-            self.set_end(id, RunEnd::NotStarted);
+            self.record_end(id, RunEnd::NotStarted);
         }
     }
 
-    fn set_end(&mut self, id: InboundId, known_end: RunEnd) {
+    fn record_end(&mut self, id: InboundId, known_end: RunEnd) {
         if let Some(attempt) = self.attempts.get_mut(&id)
             && let Phase::Running { end } = &mut attempt.phase
         {
@@ -171,14 +176,14 @@
         }
     }
 
-    fn run_closed(&mut self, now: Timestamp, id: InboundId) -> Vec<GateEffect> {
+    fn handle_run_closed(&mut self, now: Timestamp, id: InboundId) -> Vec<GateEffect> {
         match self.attempts.remove(&id).map(|attempt| attempt.phase) {
-            Some(Phase::Running { end }) => self.claim_event(now, ClaimEvent::RunEnded { id, end }),
+            Some(Phase::Running { end }) => self.apply_event(now, ClaimEvent::RunEnded { id, end }),
             _ => Vec::new(),
         }
     }
 
-    fn cancelled(&mut self, now: Timestamp, id: InboundId) -> Vec<GateEffect> {
+    fn handle_cancellation(&mut self, now: Timestamp, id: InboundId) -> Vec<GateEffect> {
         match self.attempts.get(&id).map(|attempt| &attempt.phase) {
             Some(Phase::Waiting) => {
                 self.attempts.remove(&id);
@@ -186,7 +191,7 @@
             }
             Some(Phase::Claiming { .. }) => {
                 self.attempts.remove(&id);
-                let mut effects = self.claim_event(now, ClaimEvent::Abandoned { id });
+                let mut effects = self.apply_event(now, ClaimEvent::Abandoned { id });
                 effects.push(GateEffect::NotRun { id });
                 effects
             }
@@ -194,7 +199,7 @@
         }
     }
 
-    fn claim_event(&mut self, now: Timestamp, event: ClaimEvent) -> Vec<GateEffect> {
+    fn apply_event(&mut self, now: Timestamp, event: ClaimEvent) -> Vec<GateEffect> {
         let settings = &self.settings;
         let claims = self
             .claims
@@ -210,22 +215,23 @@
     fn gate_effects(&mut self, effect: ClaimEffect) -> Vec<GateEffect> {
         match effect {
             ClaimEffect::Send(envelope) => vec![GateEffect::Send(envelope)],
-            ClaimEffect::Decided { id, decision } => self.decided(id, decision),
+            ClaimEffect::Decided { id, decision } => self.apply_decision(id, decision),
         }
     }
 
-    fn decided(&mut self, id: InboundId, decision: ClaimDecision) -> Vec<GateEffect> {
+    fn apply_decision(&mut self, id: InboundId, decision: ClaimDecision) -> Vec<GateEffect> {
         match decision {
-            ClaimDecision::Granted { start_before } => self.granted(id, start_before),
-            ClaimDecision::Replay(answer) => self.not_run(InboundEffect::Replay { id, answer }, id),
+            ClaimDecision::Granted { start_before } => self.start_run(id, start_before),
+            ClaimDecision::Replay(answer) => self.respond(InboundEffect::Replay { id, answer }, id),
             ClaimDecision::Refused(result) => {
-                self.not_run(InboundEffect::Answer { id, result }, id)
+                self.respond(InboundEffect::Answer { id, result }, id)
             }
         }
     }
 
-    /// Until the run's end is known, it counts as started and its answer as lost.
-    fn granted(&mut self, id: InboundId, start_before: Timestamp) -> Vec<GateEffect> {
+    /// Starts the run of an attempt whose claim is granted. Until the end of the run is
+    /// known, it counts as started and its answer as lost.
+    fn start_run(&mut self, id: InboundId, start_before: Timestamp) -> Vec<GateEffect> {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return Vec::new();
         };
@@ -242,13 +248,13 @@
         })]
     }
 
-    fn not_run(&mut self, answer: InboundEffect, id: InboundId) -> Vec<GateEffect> {
+    fn respond(&mut self, answer: InboundEffect, id: InboundId) -> Vec<GateEffect> {
         self.attempts.remove(&id);
         vec![GateEffect::Inbound(answer), GateEffect::NotRun { id }]
     }
 }
 
-/// How a recorded answer is reported to the caller's node.
+/// The result that is reported to the caller's node for a recorded answer.
 pub fn replay_result(answer: &RecordedAnswer) -> AttemptResult {
     const FIRST_SERVER_ERROR: u16 = 500;
     AttemptResult::Completed {
--- a/crates/coordination/src/claims/handover.rs
+++ b/crates/coordination/src/claims/handover.rs
@@ -1,12 +1,14 @@
-//! A replica that stops as planned hands its records to another member, from
-//! which the process that replaces it takes them over and votes at once.
+//! Handover of records at a planned stop: the stopping replica sends its records to
+//! another member. The process that replaces it reads them there and votes immediately.
 //!
-//! Safety rests on three rules. The stopping replica votes no more once the
-//! other member is ready. The handover is valid for a short time from the moment
-//! at which the other member became ready, when the stopping process was still
-//! alive; a process that rejoins in the other way waits for longer than that, so
-//! no later process can take over what an earlier one has outdated. And only one
-//! process may take it over.
+//! Three rules make this safe:
+//!
+//! - The stopping replica does not vote any more once the other member is ready.
+//! - The handover is valid for a short time from the moment at which the other member
+//!   became ready, when the stopping process was still alive. A process that rejoins
+//!   without a handover waits for longer than that, so no later process can read records
+//!   that are outdated by votes of an earlier one.
+//! - Only one process may read the records of a handover.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,13 +22,13 @@
 use super::page::take_page;
 use super::replica::Envelope;
 
-/// From the announcement of a planned stop to the handover: until then the
-/// replica goes on voting.
+/// Time from the announcement of a planned stop to the handover, during which the
+/// replica still votes.
 pub const HANDOVER_DELAY: Duration = Duration::from_secs(3);
-/// How long the other member is waited for before the next one is asked.
+/// Time to wait for the answer of a member before the next one is asked.
 const READY_TIMEOUT: Duration = Duration::from_millis(300);
 const RESEND_INTERVAL: Duration = Duration::from_millis(100);
-/// Handovers kept at once for others.
+/// Maximum number of handovers of other members that are stored at once.
 const MAX_HANDOVERS: usize = 4;
 
 #[derive(Debug)]
@@ -37,20 +39,20 @@
     Done,
 }
 
-/// The side of the replica that stops.
+/// The handover as seen by the replica that stops.
 #[derive(Debug)]
 pub struct HandoverSender {
     incarnation: Incarnation,
     roster: RosterVersion,
-    /// Members to ask, the best first.
+    /// Members that are asked to store the records, the most suitable first.
     candidates: Vec<NodeId>,
     asked: usize,
     stage: Stage,
-    next_at: Timestamp,
+    next_send_at: Timestamp,
 }
 
 impl HandoverSender {
-    /// A handover of a process to the first candidate that is ready.
+    /// Starts a handover to the first candidate that is ready.
     pub fn new(
         now: Timestamp,
         incarnation: Incarnation,
@@ -63,22 +65,23 @@
             candidates,
             asked: 0,
             stage: Stage::Waiting,
-            next_at: now + HANDOVER_DELAY,
+            next_send_at: now + HANDOVER_DELAY,
         }
     }
 
-    /// Whether the replica must not vote any more.
+    /// Whether the replica must not vote any more, because a member is ready.
     pub fn is_sealed(&self) -> bool {
         matches!(self.stage, Stage::Sending { .. } | Stage::Done)
     }
 
-    /// When [`HandoverSender::wake`] is wanted; none if nothing is left to do.
+    /// When [`HandoverSender::wake`] must be called next; `None` if the handover is done
+    /// or has no candidates.
     pub fn next_wake(&self) -> Option<Timestamp> {
         let is_over = matches!(self.stage, Stage::Done) || self.candidates.is_empty();
-        (!is_over).then_some(self.next_at)
+        (!is_over).then_some(self.next_send_at)
     }
 
-    /// Asks the next member, or sends a page again.
+    /// Asks the next member, or sends the current page.
     pub fn wake(
         &mut self,
         now: Timestamp,
@@ -89,24 +92,24 @@
         }
         match self.stage {
             Stage::Waiting | Stage::Asking => self.ask(now),
-            Stage::Sending { from_key } => Some(self.page(now, from_key, records)),
+            Stage::Sending { from_key } => Some(self.send_page(now, from_key, records)),
             Stage::Done => None,
         }
     }
 
-    /// A member is ready: from here on the replica is sealed.
-    pub fn ready(&mut self, now: Timestamp, from: NodeId, ready: &HandoverReady) {
+    /// Handles the answer of a member that is ready, from which on the replica is sealed.
+    pub fn handle_ready(&mut self, now: Timestamp, from: NodeId, ready: &HandoverReady) {
         let is_asked = Some(from) == self.receiver();
         let is_asking = matches!(self.stage, Stage::Asking);
         if is_asked && is_asking && ready.incarnation == self.incarnation {
             let from_key = IdempotencyKey(0);
             self.stage = Stage::Sending { from_key };
-            self.next_at = now;
+            self.next_send_at = now;
         }
     }
 
-    /// A page was stored.
-    pub fn stored(&mut self, now: Timestamp, from: NodeId, stored: &HandoverStored) {
+    /// Handles the confirmation of a stored page.
+    pub fn handle_stored(&mut self, now: Timestamp, from: NodeId, stored: &HandoverStored) {
         let Stage::Sending { from_key } = self.stage else {
             return;
         };
@@ -114,7 +117,7 @@
         if Some(from) != self.receiver() || !is_expected {
             return;
         }
-        self.next_at = now;
+        self.next_send_at = now;
         self.stage = match stored.next {
             Some(NextPage(from_key)) => Stage::Sending { from_key },
             None => Stage::Done,
@@ -130,7 +133,7 @@
     fn ask(&mut self, now: Timestamp) -> Option<Envelope> {
         self.asked += 1;
         self.stage = Stage::Asking;
-        self.next_at = now + READY_TIMEOUT;
+        self.next_send_at = now + READY_TIMEOUT;
         let begin = HandoverBegin {
             incarnation: self.incarnation,
             roster: self.roster,
@@ -141,13 +144,13 @@
         })
     }
 
-    fn page(
+    fn send_page(
         &mut self,
         now: Timestamp,
         from_key: IdempotencyKey,
         records: impl Iterator<Item = KnownClaim>,
     ) -> Envelope {
-        self.next_at = now + RESEND_INTERVAL;
+        self.next_send_at = now + RESEND_INTERVAL;
         let wanted = records.skip_while(|claim| claim.key < from_key);
         let (claims, next) = take_page(wanted);
         let page = HandoverPage {
@@ -170,17 +173,17 @@
     valid_until: Timestamp,
     claims: BTreeMap<IdempotencyKey, KnownClaim>,
     expected: Option<IdempotencyKey>,
-    taken_by: Option<Incarnation>,
+    read_by: Option<Incarnation>,
 }
 
-/// Records kept for members that stopped.
+/// Records that are stored for members that stop.
 #[derive(Debug, Default)]
 pub struct Handovers {
-    kept: BTreeMap<NodeId, Handover>,
+    stored_handovers: BTreeMap<NodeId, Handover>,
 }
 
 impl Handovers {
-    /// A member wants to hand over; its records are kept until `valid_until`.
+    /// Starts to store the records of a member that stops, until `valid_until`.
     pub fn begin(
         &mut self,
         now: Timestamp,
@@ -188,13 +191,14 @@
         begin: &HandoverBegin,
         valid_until: Timestamp,
     ) -> Option<ClaimMessage> {
-        self.kept.retain(|_, handover| now < handover.valid_until);
-        if let Some(known) = self.kept.get(&from)
+        self.stored_handovers
+            .retain(|_, handover| now < handover.valid_until);
+        if let Some(known) = self.stored_handovers.get(&from)
             && known.incarnation >= begin.incarnation
         {
             return None;
         }
-        if self.kept.len() >= MAX_HANDOVERS {
+        if self.stored_handovers.len() >= MAX_HANDOVERS {
             return None;
         }
         let incarnation = begin.incarnation;
@@ -204,20 +208,21 @@
             valid_until,
             claims: BTreeMap::new(),
             expected: Some(IdempotencyKey(0)),
-            taken_by: None,
+            read_by: None,
         };
-        self.kept.insert(from, handover);
+        self.stored_handovers.insert(from, handover);
         Some(ClaimMessage::HandoverReady(HandoverReady { incarnation }))
     }
 
-    /// Stores a page; a page that was stored before is confirmed again.
-    pub fn page(
+    /// Stores a page and returns the confirmation. A page that was stored before is
+    /// confirmed again.
+    pub fn store_page(
         &mut self,
         now: Timestamp,
         from: NodeId,
         page: HandoverPage,
     ) -> Option<ClaimMessage> {
-        let handover = self.kept.get_mut(&from)?;
+        let handover = self.stored_handovers.get_mut(&from)?;
         if handover.incarnation != page.incarnation || now >= handover.valid_until {
             return None;
         }
@@ -236,20 +241,21 @@
         }))
     }
 
-    /// Gives the records of a stopped process to the one that replaces it.
-    pub fn take_over(
+    /// Answers a request of the process that replaces a stopped one with a page of its
+    /// records. If the handover is not usable for that process, it is deleted.
+    pub fn answer_successor(
         &mut self,
         now: Timestamp,
         from: NodeId,
         request: &RejoinRequest,
     ) -> Option<ClaimMessage> {
-        let handover = self.kept.get_mut(&from)?;
+        let handover = self.stored_handovers.get_mut(&from)?;
         let is_complete = handover.expected.is_none() && now < handover.valid_until;
         let is_successor =
             request.incarnation > handover.incarnation && request.roster == handover.roster;
-        let taker = *handover.taken_by.get_or_insert(request.incarnation);
-        if !is_complete || !is_successor || taker != request.incarnation {
-            self.kept.remove(&from);
+        let reader = *handover.read_by.get_or_insert(request.incarnation);
+        if !is_complete || !is_successor || reader != request.incarnation {
+            self.stored_handovers.remove(&from);
             return None;
         }
         let wanted = handover.claims.range(request.from_key..);
--- a/crates/coordination/src/claims/mod.rs
+++ b/crates/coordination/src/claims/mod.rs
@@ -1,10 +1,11 @@
-//! At most once: a call with an idempotency key runs only under a claim that a
-//! majority of the key's replicas granted.
+//! At-most-once execution: a call with an idempotency key runs only under a claim that
+//! a majority of the key's replicas granted.
 //!
-//! [`claimant`] gets the grants, [`replica`] gives them. [`roster`] chooses a
-//! key's replicas, [`record`] is what they remember and [`rejoin`] how a
-//! replaced replica learns what it has forgotten. [`Claims`] is both parts of
-//! one node, and [`gate`] puts them between admission and run. The design is described in `docs/design/at-most-once.md`.
+//! [`claimant`] requests grants, [`replica`] gives them. [`roster`] chooses the replicas
+//! of a key, [`record`] stores what they know of keys, and [`rejoin`] lets a replaced
+//! replica recover the records of its predecessor. [`Claims`] combines claimant and
+//! replica of one node, and [`gate`] places them between admission and run. The design
+//! is described in `docs/design/at-most-once.md`.
 
 pub mod claimant;
 pub mod decision;
@@ -33,58 +34,58 @@
 use claimant::{Claimant, ClaimantEffect};
 use replica::Replica;
 
-/// What the claims of a node are told.
+/// Events that the claims of a node handle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimEvent {
-    /// A call is to be run under a claim.
+    /// A call must be claimed before it may run.
     Wanted {
-        /// The call.
+        /// The call to claim.
         id: InboundId,
-        /// What is to be claimed.
+        /// The key, body digest and deadline of the call.
         wanted: ClaimWanted,
     },
-    /// The caller of a call whose claim is not decided went away.
+    /// The caller of a call whose claim is not decided has disconnected or cancelled.
     Abandoned {
-        /// The call.
+        /// The call that was abandoned.
         id: InboundId,
     },
     /// A call whose claim was granted has ended.
     RunEnded {
-        /// The call.
+        /// The call that has ended.
         id: InboundId,
-        /// How it ended.
+        /// How the run of the call ended.
         end: RunEnd,
     },
-    /// A message arrived.
+    /// A message was received.
     Received {
-        /// The sender.
+        /// The node that sent the message.
         from: NodeId,
-        /// The message.
+        /// The received message.
         message: ClaimMessage,
     },
-    /// A planned stop has begun.
+    /// A planned stop of this node has begun.
     Leave,
-    /// The process was paused: claims that are not decided are asked for again.
+    /// The process has resumed after a pause: undecided claims are requested again.
     Resumed,
-    /// The time asked for with [`Claims::next_wake`] has come.
+    /// The time returned by [`Claims::next_wake`] has come.
     Wake,
 }
 
-/// What the claims of a node want done.
+/// Actions that the caller must carry out for the claims of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimEffect {
     /// Send a message to another node. It may be lost.
     Send(Envelope),
-    /// A call's claim is decided.
+    /// Apply the decision on the claim of a call.
     Decided {
-        /// The call.
+        /// The call whose claim was decided.
         id: InboundId,
-        /// The decision.
+        /// The decision on the claim.
         decision: ClaimDecision,
     },
 }
 
-/// Claimant and replica of one node.
+/// The claimant and the replica of one node.
 #[derive(Debug)]
 pub struct Claims {
     node: NodeId,
@@ -93,7 +94,7 @@
 }
 
 impl Claims {
-    /// Claims of a process that starts at `now`.
+    /// Creates the claims of a process that starts at `now`.
     pub fn new(now: Timestamp, settings: ClaimSettings) -> Self {
         Claims {
             node: settings.node,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// What this node's replica knows of a key.
+    /// Reports what this node's replica knows of a key.
     pub fn report(&self, now: Timestamp, key: IdempotencyKey) -> KeyReport {
         self.replica.report(now, key)
     }
@@ -112,58 +113,59 @@
         self.replica.roster()
     }
 
-    /// The node's replica.
+    /// The replica of this node.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// When [`ClaimEvent::Wake`] is wanted next.
+    /// When [`ClaimEvent::Wake`] must be delivered next.
     pub fn next_wake(&self) -> Option<Timestamp> {
         let claimant = self.claimant.next_wake();
         claimant.into_iter().chain(self.replica.next_wake()).min()
     }
 
-    /// Takes in one event and appends what is to be done to `effects`.
+    /// Handles one event and appends the resulting actions to `effects`.
     pub fn handle(&mut self, now: Timestamp, event: ClaimEvent, effects: &mut Vec<ClaimEffect>) {
         let mut local = VecDeque::new();
-        self.handle_one(now, event, &mut local, effects);
+        self.handle_event(now, event, &mut local, effects);
         while let Some(message) = local.pop_front() {
             let from = self.node;
             let event = ClaimEvent::Received { from, message };
-            self.handle_one(now, event, &mut local, effects);
+            self.handle_event(now, event, &mut local, effects);
         }
     }
 
-    fn handle_one(
+    fn handle_event(
         &mut self,
         now: Timestamp,
         event: ClaimEvent,
         local: &mut VecDeque<ClaimMessage>,
         effects: &mut Vec<ClaimEffect>,
     ) {
-        let mut produced = Vec::new();
+        let mut claimant_effects = Vec::new();
         match event {
             ClaimEvent::Wanted { id, wanted } => {
                 let roster = self.replica.roster();
-                self.claimant.claim(now, id, wanted, roster, &mut produced);
+                self.claimant
+                    .start_claim(now, id, wanted, roster, &mut claimant_effects);
             }
-            ClaimEvent::Abandoned { id } => self.claimant.abandon(now, id, &mut produced),
+            ClaimEvent::Abandoned { id } => self.claimant.abandon(now, id, &mut claimant_effects),
             ClaimEvent::RunEnded { id, end } => {
-                self.claimant.run_ended(now, id, end, &mut produced);
+                self.claimant.end_run(now, id, end, &mut claimant_effects);
             }
             ClaimEvent::Received { from, message } => {
-                self.receive(now, from, message, &mut produced);
+                self.receive(now, from, message, &mut claimant_effects);
             }
-            ClaimEvent::Leave => self.replica.leave(now),
-            ClaimEvent::Resumed => self.restart_claims(now, &mut produced),
-            ClaimEvent::Wake => self.wake(now, &mut produced),
+            ClaimEvent::Leave => self.replica.start_handover(now),
+            ClaimEvent::Resumed => self.restart_claims(now, &mut claimant_effects),
+            ClaimEvent::Wake => self.wake(now, &mut claimant_effects),
         }
-        for effect in produced {
+        for effect in claimant_effects {
             self.route(effect, local, effects);
         }
     }
 
-    /// Messages to this node itself do not leave it.
+    /// Queues messages to this node itself in `local` and passes on all other effects.
     fn route(
         &self,
         effect: ClaimantEffect,
@@ -190,43 +192,43 @@
     ) {
         match message {
             ClaimMessage::Request(request) => {
-                let vote = self.replica.request(now, &request);
+                let vote = self.replica.handle_request(now, &request);
                 self.offer_roster(from, request.roster.epoch, effects);
                 send(from, ClaimMessage::Vote(vote), effects);
             }
-            ClaimMessage::Vote(vote) => self.vote(now, from, &vote, effects),
+            ClaimMessage::Vote(vote) => self.handle_vote(now, from, &vote, effects),
             ClaimMessage::Release(release) => {
-                if self.replica.release(now, &release) {
-                    confirm(from, release.claim, effects);
+                if self.replica.handle_release(now, &release) {
+                    send_confirmation(from, release.claim, effects);
                 }
             }
             ClaimMessage::Finish(finish) => {
-                if self.replica.finish(now, &finish) {
-                    confirm(from, finish.claim, effects);
+                if self.replica.handle_finish(now, &finish) {
+                    send_confirmation(from, finish.claim, effects);
                 }
             }
-            ClaimMessage::Stored(stored) => self.claimant.stored(stored.claim, from),
-            ClaimMessage::Roster(roster) => self.adopt(now, roster, effects),
+            ClaimMessage::Stored(stored) => self.claimant.record_stored(stored.claim, from),
+            ClaimMessage::Roster(roster) => self.adopt_roster(now, roster, effects),
             ClaimMessage::RejoinRequest(request) => {
-                let page = self.replica.rejoin_request(now, from, &request);
+                let page = self.replica.answer_rejoin(now, from, &request);
                 self.offer_roster(from, request.roster.epoch, effects);
-                effects.extend(page.map(|message| sending(from, message)));
+                effects.extend(page.map(|message| send_effect(from, message)));
             }
             message @ (ClaimMessage::HandoverBegin(_)
             | ClaimMessage::HandoverReady(_)
             | ClaimMessage::HandoverPage(_)
             | ClaimMessage::HandoverStored(_)) => {
-                let answer = self.replica.handover_message(now, from, message);
-                effects.extend(answer.map(|message| sending(from, message)));
+                let answer = self.replica.handle_handover(now, from, message);
+                effects.extend(answer.map(|message| send_effect(from, message)));
             }
             ClaimMessage::RejoinPage(page) => {
-                let request = self.replica.rejoin_page(now, from, &page);
-                effects.extend(request.map(|message| sending(from, message)));
+                let request = self.replica.handle_rejoin_page(now, from, &page);
+                effects.extend(request.map(|message| send_effect(from, message)));
             }
         }
     }
 
-    fn vote(
+    fn handle_vote(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -237,10 +239,10 @@
             self.offer_roster(from, vote.roster.epoch, effects);
         }
         let roster = self.replica.roster();
-        self.claimant.vote(now, from, vote, roster, effects);
+        self.claimant.handle_vote(now, from, vote, roster, effects);
     }
 
-    /// Sends the roster to a node whose roster is older.
+    /// Sends this node's roster to a node whose roster has a lower epoch.
     fn offer_roster(&self, to: NodeId, epoch: u32, effects: &mut Vec<ClaimantEffect>) {
         let roster = self.replica.roster();
         if epoch < roster.epoch {
@@ -248,8 +250,8 @@
         }
     }
 
-    fn adopt(&mut self, now: Timestamp, roster: Roster, effects: &mut Vec<ClaimantEffect>) {
-        if self.replica.adopt(now, roster) {
+    fn adopt_roster(&mut self, now: Timestamp, roster: Roster, effects: &mut Vec<ClaimantEffect>) {
+        if self.replica.adopt_roster(now, roster) {
             self.restart_claims(now, effects);
         }
     }
@@ -267,14 +269,14 @@
     }
 }
 
-fn confirm(to: NodeId, claim: ClaimId, effects: &mut Vec<ClaimantEffect>) {
+fn send_confirmation(to: NodeId, claim: ClaimId, effects: &mut Vec<ClaimantEffect>) {
     send(to, ClaimMessage::Stored(ClaimStored { claim }), effects);
 }
 
 fn send(to: NodeId, message: ClaimMessage, effects: &mut Vec<ClaimantEffect>) {
-    effects.push(sending(to, message));
+    effects.push(send_effect(to, message));
 }
 
-fn sending(to: NodeId, message: ClaimMessage) -> ClaimantEffect {
+fn send_effect(to: NodeId, message: ClaimMessage) -> ClaimantEffect {
     ClaimantEffect::Send(Envelope { to, message })
 }
--- a/crates/coordination/src/claims/page.rs
+++ b/crates/coordination/src/claims/page.rs
@@ -1,13 +1,14 @@
-//! Records in parts that fit into one datagram each.
+//! Splits claims into pages that fit into one datagram each.
 
 use lifthollow_protocol::{KnownClaim, NextPage, RecordedOutcome};
 
-/// Upper bound of the claims in one page in bytes, beyond the first.
+/// Maximum encoded size of the claims in one page, in bytes. A page holds at least one
+/// claim, even if that exceeds the limit.
 const MAX_PAGE_BYTES: usize = 900;
-/// Encoded size of a claim without its recorded answer, in bytes, at most.
+/// Maximum encoded size of a claim without its recorded answer, in bytes.
 const MAX_CLAIM_BYTES: usize = 56;
 
-/// Takes the claims of one page, and tells where the next page begins.
+/// Takes the claims of one page; also returns the first key of the next page, if any.
 pub fn take_page(claims: impl Iterator<Item = KnownClaim>) -> (Vec<KnownClaim>, Option<NextPage>) {
     let mut page = Vec::new();
     let mut bytes = 0;
--- a/crates/coordination/src/claims/pending.rs
+++ b/crates/coordination/src/claims/pending.rs
@@ -1,4 +1,4 @@
-//! Claims that are not decided, and claims under which a call is run.
+//! Undecided claims, and granted claims under which calls run.
 
 use std::collections::BTreeSet;
 
@@ -12,18 +12,18 @@
 use super::roster::ReplicaSets;
 use super::tally::Tally;
 
-/// A claim on which votes are being collected.
+/// An undecided claim, for which votes are collected.
 #[derive(Debug)]
 pub(super) struct PendingClaim {
     pub(super) wanted: ClaimWanted,
     pub(super) claim: ClaimId,
-    /// This claim and the earlier ones of the same call, all released.
+    /// This claim and the earlier claims of the same call, which are all released.
     pub(super) own_claims: BTreeSet<ClaimId>,
     pub(super) replicas: ReplicaSets,
     pub(super) roster: RosterVersion,
     pub(super) tally: Tally,
     pub(super) sent_at: Timestamp,
-    /// When the request is sent again, or the next round begins.
+    /// When the request is sent again or, while backing off, the next round begins.
     pub(super) resend_at: Timestamp,
     pub(super) give_up_at: Timestamp,
     pub(super) backing_off: bool,
@@ -48,14 +48,14 @@
             })
     }
 
-    /// Gives the votes back.
-    pub(super) fn release(&self) -> ClaimMessage {
+    /// The message that releases the claim.
+    pub(super) fn release_claim(&self) -> ClaimMessage {
         release_message(self.wanted.key, self.claim)
     }
 
-    /// The decision without a majority. If another claim was seen, its holder
-    /// may have run the call.
-    pub(super) fn undecided(&self) -> ClaimDecision {
+    /// The decision if no majority was reached. If a replica reported another claim, its
+    /// holder may have run the call.
+    pub(super) fn decision_without_majority(&self) -> ClaimDecision {
         if self.tally.is_held_by_other(&self.own_claims) {
             return ClaimDecision::unknown(RefusalReason::AlreadyRunning);
         }
@@ -74,8 +74,8 @@
 }
 
 impl GrantedClaim {
-    /// Tells the replicas how the run ended.
-    pub(super) fn end(&self, end: RunEnd) -> ClaimMessage {
+    /// The message that tells the replicas how the run ended.
+    pub(super) fn end_message(&self, end: RunEnd) -> ClaimMessage {
         match end {
             RunEnd::NotStarted => release_message(self.key, self.claim),
             RunEnd::Ended(outcome) => ClaimMessage::Finish(ClaimFinish {
--- a/crates/coordination/src/claims/record.rs
+++ b/crates/coordination/src/claims/record.rs
@@ -1,47 +1,47 @@
-//! What a replica remembers of keys, bounded in time and in bytes.
+//! The records of a replica about keys, limited in lifetime and memory.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use lifthollow_protocol::{ClaimId, RecordedOutcome};
 use lifthollow_state::{IdempotencyKey, Timestamp};
 
-/// Upper bound of the memory that the records of one replica take, in bytes.
+/// Maximum memory used by the records of one replica, in bytes.
 pub const MAX_RECORD_BYTES: usize = 12 * 1024 * 1024;
 
-/// Memory of one record without its recorded answer, in bytes: the entry of the
-/// map at its usual fill of two thirds, and the entry of the expiry queue.
+/// Memory used by one record without its recorded answer, in bytes: the entry of the
+/// map, whose nodes are usually two thirds full, and the entry of the expiry queue.
 pub const RECORD_OVERHEAD_BYTES: usize =
     (size_of::<IdempotencyKey>() + size_of::<Record>()) * 3 / 2 + size_of::<Expiry>();
 
-/// Where a key stands at a replica.
+/// State of a key at a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordState {
     /// The holder may be running the call.
     Claimed,
-    /// Learned from another replica after this one was replaced. Whether the
-    /// holder is the only one is not known, so nobody is granted the key.
+    /// The record was read from another replica after this one was replaced. Another
+    /// claim may hold the key too, so no claim is granted the key.
     Recovered,
-    /// The holder gave the key back without running the call.
+    /// The holder released the key without running the call.
     Released,
-    /// A run ended.
+    /// The run under the holder's claim has ended with this outcome.
     Finished(RecordedOutcome),
 }
 
-/// One key at a replica.
+/// The record of one key at a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
     /// The claim that holds or held the key.
     pub holder: ClaimId,
     /// Digest of method, path and body of the call.
     pub body_digest: u64,
-    /// Where the key stands.
+    /// The state of the key.
     pub state: RecordState,
-    /// When the record is forgotten.
+    /// When the record expires.
     pub expires_at: Timestamp,
 }
 
 impl Record {
-    /// How the run ended, if it did.
+    /// The outcome of the run, if it has ended.
     pub fn outcome(&self) -> Option<&RecordedOutcome> {
         match &self.state {
             RecordState::Finished(outcome) => Some(outcome),
@@ -56,9 +56,9 @@
     key: IdempotencyKey,
 }
 
-/// The store has reached [`MAX_RECORD_BYTES`].
+/// Error: another record would exceed [`MAX_RECORD_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the store of claims is full")]
+#[error("the claim records have reached their memory limit")]
 pub struct StoreFull;
 
 /// The records of one replica.
@@ -75,7 +75,7 @@
         self.records.get(&key)
     }
 
-    /// All records with keys from `from_key` on, in order of keys.
+    /// All records whose keys are `from_key` or greater, in order of keys.
     pub fn from(
         &self,
         from_key: IdempotencyKey,
@@ -103,17 +103,17 @@
         Ok(())
     }
 
-    /// Forgets records whose time has come. All records are kept equally long,
-    /// so the expiries are in order of time.
+    /// Deletes expired records. All records are kept equally long, so the queue of
+    /// expiries is in order of time.
     pub fn expire(&mut self, now: Timestamp) {
         while self.expiries.front().is_some_and(|expiry| expiry.at <= now) {
             if let Some(expiry) = self.expiries.pop_front() {
-                self.forget_expired(now, expiry.key);
+                self.delete_if_expired(now, expiry.key);
             }
         }
     }
 
-    /// Count of records.
+    /// Number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
@@ -123,12 +123,12 @@
         self.records.is_empty()
     }
 
-    /// Estimate of the memory used.
+    /// Estimated memory used by the records, in bytes.
     pub fn bytes(&self) -> usize {
         self.records.len() * RECORD_OVERHEAD_BYTES + self.answer_bytes
     }
 
-    fn forget_expired(&mut self, now: Timestamp, key: IdempotencyKey) {
+    fn delete_if_expired(&mut self, now: Timestamp, key: IdempotencyKey) {
         let is_expired = |record: &Record| record.expires_at <= now;
         if !self.records.get(&key).is_some_and(is_expired) {
             return;
--- a/crates/coordination/src/claims/rejoin.rs
+++ b/crates/coordination/src/claims/rejoin.rs
@@ -1,18 +1,17 @@
-//! How a replaced replica learns what its predecessor may have voted for.
+//! Recovery of a replaced replica: it learns which claims its predecessor may have
+//! voted for.
 //!
-//! A claim counts votes only within its start window. Once that time has passed
-//! since the replica's start, each claim that counted the predecessor's vote has
-//! its majority, and all other members of it know the claim. The replica then
-//! reads the claims of the other members. For a key whose other replicas it has
-//! read from, up to so few that they and itself are no majority, it has learned
-//! every claim that can have been granted.
+//! A claim counts votes only within its start window. Once that time has passed since
+//! the replica's start, each claim that counted the predecessor's vote has its majority,
+//! and all other replicas of that majority know the claim. The replica then reads the
+//! claims of the other members. It has learned every claim on a key that can have been
+//! granted when the unread replicas of that key and the replica itself are not a majority.
 //!
-//! Before that time the replica asks whether a member keeps the records of the
-//! process before, which has then handed them over (see [`super::handover`]).
+//! Before that time the replica asks whether a member stores the records that the
+//! predecessor handed over (see [`super::handover`]).
 //!
-//! Only a member that has learned every claim of all its own keys answers.
-//! Otherwise replicas that were replaced together would inform each other of
-//! nothing.
+//! Only a member that has learned every claim of all its own keys answers. Otherwise
+//! replicas that were replaced at the same time would read each other's empty records.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -24,19 +23,20 @@
 
 const FIRST_KEY: IdempotencyKey = IdempotencyKey(0);
 const MIN_RESEND_INTERVAL: Duration = Duration::from_millis(200);
-/// The interval doubles up to this while nobody answers.
+/// Maximum time between two requests; the interval doubles up to this while no member
+/// answers.
 const MAX_RESEND_INTERVAL: Duration = Duration::from_millis(3_200);
-/// Members read from at the same time.
+/// Maximum number of members that are read from at the same time.
 const MAX_READS_AT_ONCE: usize = 8;
 
-/// What has been read from one member.
+/// Progress of reading the claims of one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
     Reading { from_key: IdempotencyKey },
     Complete,
 }
 
-/// Reading of other members' claims after a start.
+/// Reads the claims of the other members after a start.
 #[derive(Debug)]
 pub struct Rejoin {
     incarnation: Incarnation,
@@ -44,17 +44,17 @@
     resend_at: Timestamp,
     resend_interval: Duration,
     turn: usize,
-    /// The member from which handed over records are read.
-    took_over: Option<NodeId>,
-    /// All handed over records have been read.
-    is_complete: bool,
-    /// Everything has settled and the claims of all members are read.
-    is_reading: bool,
+    /// The member from which handed-over records are read, if any answered.
+    handover_source: Option<NodeId>,
+    /// Whether all handed-over records have been read.
+    is_handover_read: bool,
+    /// Whether the settle time has passed and the claims of all members are being read.
+    is_reading_all: bool,
     progress: BTreeMap<NodeId, Progress>,
 }
 
 impl Rejoin {
-    /// Reads from `members`; before `starts_at` only what was handed over.
+    /// Starts to read from `members`; before `starts_at` only handed-over records.
     pub fn new(
         node: NodeId,
         incarnation: Incarnation,
@@ -70,27 +70,27 @@
             incarnation,
             starts_at,
             resend_at: now,
-            took_over: None,
-            is_complete: false,
-            is_reading: false,
+            handover_source: None,
+            is_handover_read: false,
+            is_reading_all: false,
             resend_interval: MIN_RESEND_INTERVAL,
             turn: 0,
             progress: others.map(|member| (member, begin)).collect(),
         }
     }
 
-    /// When [`Rejoin::wake`] is wanted; none if all is read.
+    /// When [`Rejoin::wake`] must be called next; `None` if everything has been read.
     pub fn next_wake(&self) -> Option<Timestamp> {
-        let is_read = self.is_complete || self.unread().next().is_none();
+        let is_read = self.is_handover_read || self.unread().next().is_none();
         (!is_read).then_some(self.resend_at)
     }
 
-    /// Asks members that have not answered.
+    /// Returns the requests to members that have not been read completely.
     pub fn wake(&mut self, now: Timestamp, roster: RosterVersion) -> Vec<(NodeId, ClaimMessage)> {
         if self.next_wake().is_none_or(|at| now < at) {
             return Vec::new();
         }
-        self.begin_reading(now);
+        self.start_full_read(now);
         self.resend_at = now + self.resend_interval;
         self.resend_interval = (self.resend_interval * 2).min(MAX_RESEND_INTERVAL);
         let mut reading: Vec<NodeId> = self.unread().collect();
@@ -103,8 +103,8 @@
             .collect()
     }
 
-    /// Takes in a page and returns the request for the next one.
-    pub fn page_arrived(
+    /// Records that a page was read and returns the request for the next one.
+    pub fn record_page(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -122,14 +122,14 @@
             None => Progress::Complete,
         };
         self.progress.insert(from, progress);
-        self.is_complete |= page.handed_over && progress == Progress::Complete;
+        self.is_handover_read |= page.handed_over && progress == Progress::Complete;
         self.resend_interval = MIN_RESEND_INTERVAL;
         self.request(now, from, page.roster)
     }
 
-    /// Whether every claim of a key with these replicas has been learned.
+    /// Whether every claim on a key with these replicas has been learned.
     pub fn has_learned(&self, replicas: &[NodeId]) -> bool {
-        if self.is_complete {
+        if self.is_handover_read {
             return true;
         }
         let is_read = |replica: &&NodeId| self.progress.get(replica) == Some(&Progress::Complete);
@@ -137,16 +137,16 @@
         read > replicas.len() - majority(replicas.len())
     }
 
-    /// Whether every claim of all keys of this replica has been learned: so few
-    /// members are unread that they and this one are a majority of no key.
+    /// Whether every claim on all keys of this replica has been learned: so few members
+    /// are unread that they and this one are not a majority for any key.
     pub fn has_learned_all(&self) -> bool {
         let members = self.progress.len() + 1;
         let replicas = members.min(REPLICAS_PER_KEY);
-        let may_miss = majority(replicas).saturating_sub(2);
-        self.is_complete || self.unread().count() <= may_miss
+        let allowed_unread = majority(replicas).saturating_sub(2);
+        self.is_handover_read || self.unread().count() <= allowed_unread
     }
 
-    /// Members that have not been read to the end.
+    /// Members that have not been read completely.
     fn unread(&self) -> impl Iterator<Item = NodeId> {
         self.progress
             .iter()
@@ -154,13 +154,14 @@
             .map(|(member, _)| *member)
     }
 
-    /// From here on the claims of all members are read, from their beginning.
-    fn begin_reading(&mut self, now: Timestamp) {
-        if now < self.starts_at || self.is_reading {
+    /// Once `starts_at` has come, starts to read the claims of all members from the first
+    /// key.
+    fn start_full_read(&mut self, now: Timestamp) {
+        if now < self.starts_at || self.is_reading_all {
             return;
         }
-        self.is_reading = true;
-        self.took_over = None;
+        self.is_reading_all = true;
+        self.handover_source = None;
         let begin = Progress::Reading {
             from_key: FIRST_KEY,
         };
@@ -169,14 +170,15 @@
             .for_each(|progress| *progress = begin);
     }
 
-    /// Handed over records are read from one member, and only until the claims
-    /// of all members are read; those are read as settled.
+    /// Whether a page may be read. Handed-over records are read from one member only,
+    /// and only before the claims of all members are read; those must be marked as
+    /// settled.
     fn may_read(&mut self, now: Timestamp, from: NodeId, page: &RejoinPage) -> bool {
         if page.handed_over {
-            let from_one = *self.took_over.get_or_insert(from) == from;
-            return from_one && !self.is_reading && !page.settled;
+            let from_one = *self.handover_source.get_or_insert(from) == from;
+            return from_one && !self.is_reading_all && !page.settled;
         }
-        self.is_reading && page.settled && now >= self.starts_at
+        self.is_reading_all && page.settled && now >= self.starts_at
     }
 
     fn request(
@@ -192,11 +194,12 @@
             incarnation: self.incarnation,
             roster,
             from_key: *from_key,
-            settled: self.is_reading && now >= self.starts_at,
+            settled: self.is_reading_all && now >= self.starts_at,
         }))
     }
 
-    /// Starts with another member each time, so that silent ones block nobody.
+    /// The index of the member to ask first, which changes each time so that members that
+    /// do not answer do not block others.
     fn rotation(&mut self, members: usize) -> usize {
         self.turn = self.turn.wrapping_add(MAX_READS_AT_ONCE);
         self.turn.checked_rem(members).unwrap_or(0)
--- a/crates/coordination/src/claims/replica/exchange.rs
+++ b/crates/coordination/src/claims/replica/exchange.rs
@@ -1,5 +1,5 @@
-//! How replicas pass on what they know: at a planned stop by a handover, to a
-//! member that was replaced by answering its rejoin.
+//! Exchange of records between replicas: handovers at a planned stop, and answers to
+//! the rejoin requests of replaced members.
 
 use lifthollow_protocol::{
     ClaimMessage, KnownClaim, RejoinPage, RejoinRequest, Roster, RosterMember,
@@ -13,9 +13,9 @@
 use crate::claims::roster::ReplicaSets;
 
 impl Replica {
-    /// A planned stop has begun. A replica that does not know all claims has
-    /// nothing to hand over.
-    pub fn leave(&mut self, now: Timestamp) {
+    /// Starts the handover at a planned stop, except during a change of the roster. A
+    /// replica that does not know all claims hands nothing over.
+    pub fn start_handover(&mut self, now: Timestamp) {
         if self.handover.is_some() || !self.roster.previous.is_empty() {
             return;
         }
@@ -29,36 +29,37 @@
         self.handover = Some(sender);
     }
 
-    /// Takes in a message about a handover and returns the answer.
-    pub fn handover_message(
+    /// Handles a message about a handover and returns the answer.
+    pub fn handle_handover(
         &mut self,
         now: Timestamp,
         from: NodeId,
         message: ClaimMessage,
     ) -> Option<ClaimMessage> {
         match message {
-            // A replica that stops itself keeps nothing for others.
+            // A replica that stops itself stores no records for others.
             ClaimMessage::HandoverBegin(_) if self.handover.is_some() => None,
             ClaimMessage::HandoverBegin(begin) => {
                 let valid_until = now + self.settings.handover_validity;
                 self.handovers.begin(now, from, &begin, valid_until)
             }
-            ClaimMessage::HandoverPage(page) => self.handovers.page(now, from, page),
+            ClaimMessage::HandoverPage(page) => self.handovers.store_page(now, from, page),
             ClaimMessage::HandoverReady(ready) => {
                 let is_informed = self.is_informed(now);
                 let sender = self.handover.as_mut().filter(|_| is_informed);
-                sender?.ready(now, from, &ready);
+                sender?.handle_ready(now, from, &ready);
                 None
             }
             ClaimMessage::HandoverStored(stored) => {
-                self.handover.as_mut()?.stored(now, from, &stored);
+                self.handover.as_mut()?.handle_stored(now, from, &stored);
                 None
             }
             _ => None,
         }
     }
 
-    /// Whether the replica has handed its records over and votes no more.
+    /// Whether the replica does not vote any more because it hands over or has handed
+    /// over its records.
     pub fn is_sealed(&self) -> bool {
         self.handover
             .as_ref()
@@ -78,8 +79,9 @@
         self.handover.as_mut()?.wake(now, claims)
     }
 
-    /// Answers a member that was replaced, if this replica knows enough itself.
-    pub fn rejoin_request(
+    /// Answers a replaced member with handed-over records or, if this replica knows all
+    /// claims of its own keys, with the records that both share.
+    pub fn answer_rejoin(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -87,7 +89,7 @@
     ) -> Option<ClaimMessage> {
         self.store.expire(now);
         if !request.settled {
-            return self.handovers.take_over(now, from, request);
+            return self.handovers.answer_successor(now, from, request);
         }
         if request.roster != self.roster_version || !self.is_informed(now) || self.is_sealed() {
             return None;
@@ -104,8 +106,8 @@
         }))
     }
 
-    /// Takes in what another member knows, and returns the next request.
-    pub fn rejoin_page(
+    /// Stores the claims that another member sent, and returns the next request.
+    pub fn handle_rejoin_page(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -117,7 +119,7 @@
         for claim in &page.claims {
             self.recover(now, claim)?;
         }
-        self.rejoin.as_mut()?.page_arrived(now, from, page)
+        self.rejoin.as_mut()?.record_page(now, from, page)
     }
 
     fn shared_claims(
@@ -132,12 +134,13 @@
             .map(|(key, record)| known_claim(key, record))
     }
 
-    /// None if there is no room, so that the page is not counted as read.
+    /// Stores a claim that another member sent. Returns `None` if the store is full, so
+    /// that the page is not counted as read.
     fn recover(&mut self, now: Timestamp, claim: &KnownClaim) -> Option<()> {
         let known = self.store.get(claim.key);
-        let is_news =
+        let is_new_outcome =
             claim.outcome.is_some() && known.is_some_and(|known| known.outcome().is_none());
-        if known.is_some_and(is_unreleased) && !is_news {
+        if known.is_some_and(is_unreleased) && !is_new_outcome {
             return Some(());
         }
         let state = match &claim.outcome {
@@ -163,7 +166,8 @@
     }
 }
 
-/// Members of the other side first, since a side is often replaced as a whole.
+/// The members to ask for a handover in order of preference. Members of the other side
+/// come first, since a side is often replaced as a whole.
 fn handover_candidates(roster: &Roster, node: NodeId) -> Vec<NodeId> {
     let own = roster.members.iter().find(|member| member.node == node);
     let Some(own) = own else {
--- a/crates/coordination/src/claims/replica/mod.rs
+++ b/crates/coordination/src/claims/replica/mod.rs
@@ -1,4 +1,4 @@
-//! A member of the roster: stores which claim holds which key.
+//! The replica of a node, which votes on claims and stores which claim holds which key.
 
 mod exchange;
 
@@ -16,12 +16,12 @@
 use crate::claims::roster::{ReplicaSets, version_of};
 use crate::claims::settings::ClaimSettings;
 
-/// A message and where it goes.
+/// A message and its receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Envelope {
-    /// The receiver.
+    /// The node that receives the message.
     pub to: NodeId,
-    /// The message.
+    /// The message to send.
     pub message: ClaimMessage,
 }
 
@@ -30,15 +30,15 @@
 pub struct KeyReport {
     /// Whether this node may vote on the key now.
     pub votes: bool,
-    /// Its record.
+    /// The record of the key, if there is one.
     pub record: Option<Record>,
-    /// The key's replicas by this node's roster.
+    /// The replicas of the key according to this node's roster.
     pub replicas: ReplicaSets,
-    /// The epoch of that roster.
+    /// The epoch of this node's roster.
     pub roster_epoch: u32,
 }
 
-/// The replica's part of the claims of one node.
+/// The replica of one node: its roster, its records and its handovers.
 #[derive(Debug)]
 pub struct Replica {
     node: NodeId,
@@ -46,7 +46,8 @@
     roster: Roster,
     roster_version: RosterVersion,
     roster_since: Timestamp,
-    /// From here on nothing that a predecessor voted for matters any more.
+    /// Time from which on the votes of a predecessor have expired, so this replica may
+    /// vote on every key.
     votes_from: Timestamp,
     rejoin: Option<Rejoin>,
     handover: Option<HandoverSender>,
@@ -56,7 +57,7 @@
 }
 
 impl Replica {
-    /// A replica that starts at `now` and remembers nothing.
+    /// Creates a replica that starts at `now` without records.
     pub fn new(now: Timestamp, settings: &ClaimSettings) -> Self {
         let retention = settings.retention();
         let votes_from = match settings.bootstrap {
@@ -70,7 +71,7 @@
             roster_version: version_of(&settings.roster),
             roster_since: now,
             votes_from,
-            rejoin: rejoin_of(now, settings),
+            rejoin: new_rejoin(now, settings),
             handover: None,
             handovers: Handovers::default(),
             settings: settings.clone(),
@@ -83,24 +84,25 @@
         &self.roster
     }
 
-    /// The name of the roster in force at this node.
+    /// The version of the roster in force at this node.
     pub fn roster_version(&self) -> RosterVersion {
         self.roster_version
     }
 
-    /// The records stored.
+    /// The stored records.
     pub fn store(&self) -> &RecordStore {
         &self.store
     }
 
-    /// When [`Replica::wake`] is wanted next.
+    /// When [`Replica::wake`] must be called next.
     pub fn next_wake(&self) -> Option<Timestamp> {
         let rejoin = self.rejoin.as_ref().and_then(Rejoin::next_wake);
         let handover = self.handover.as_ref().and_then(HandoverSender::next_wake);
         rejoin.into_iter().chain(handover).min()
     }
 
-    /// Forgets what has expired and goes on with rejoining.
+    /// Deletes expired records and returns the due messages of the rejoin and the
+    /// handover.
     pub fn wake(&mut self, now: Timestamp) -> Vec<Envelope> {
         self.store.expire(now);
         if now >= self.votes_from {
@@ -117,7 +119,7 @@
     }
 
     /// Votes on a claim.
-    pub fn request(&mut self, now: Timestamp, request: &ClaimRequest) -> ClaimVote {
+    pub fn handle_request(&mut self, now: Timestamp, request: &ClaimRequest) -> ClaimVote {
         self.store.expire(now);
         ClaimVote {
             key: request.key,
@@ -127,10 +129,11 @@
         }
     }
 
-    /// Frees a key whose holder gave it back. A key that was learned from others
-    /// stays, since another claim may hold it too.
-    /// False if the replica stops and the process that replaces it is to be told.
-    pub fn release(&mut self, now: Timestamp, release: &ClaimRelease) -> bool {
+    /// Frees a key that its holder released. A recovered record is kept, since another
+    /// claim may hold the key too. Returns whether the release is confirmed: a sealed
+    /// replica does not confirm, so that the claimant resends the release to the process
+    /// that replaces it.
+    pub fn handle_release(&mut self, now: Timestamp, release: &ClaimRelease) -> bool {
         self.store.expire(now);
         if self.is_sealed() {
             return false;
@@ -148,13 +151,15 @@
             state: RecordState::Released,
             expires_at,
         };
-        // A full store only loses a note that guards against reordering.
+        // If the store is full, only the marker is lost that keeps a reordered request of the
+        // released claim from taking the key again.
         let _ = self.store.put(release.key, record);
         true
     }
 
-    /// Records how a run ended. False if there is no room.
-    pub fn finish(&mut self, now: Timestamp, finish: &ClaimFinish) -> bool {
+    /// Records how a run ended. Returns whether the outcome is confirmed: not if the
+    /// replica is sealed or its store is full.
+    pub fn handle_finish(&mut self, now: Timestamp, finish: &ClaimFinish) -> bool {
         self.store.expire(now);
         if self.is_sealed() {
             return false;
@@ -172,13 +177,13 @@
         self.store.put(finish.key, record).is_ok()
     }
 
-    /// Takes over a roster with a higher epoch.
+    /// Adopts a roster with a higher epoch. Returns whether the epoch was higher.
     ///
-    /// The start of a change needs no waiting, since claims go on needing a
-    /// majority of the members before it. After its end, and after any step
-    /// that was missed, the replica votes only when it has seen all claims of
-    /// one retention under the roster before.
-    pub fn adopt(&mut self, now: Timestamp, roster: Roster) -> bool {
+    /// The start of a change requires no waiting, since claims still need a majority of
+    /// the previous members. After the end of a change, and after any missed step, the
+    /// replica votes only when it has seen all claims of one retention period under the
+    /// roster before.
+    pub fn adopt_roster(&mut self, now: Timestamp, roster: Roster) -> bool {
         if roster.epoch <= self.roster.epoch {
             return false;
         }
@@ -200,7 +205,7 @@
         true
     }
 
-    /// What this replica knows of a key.
+    /// Reports what this replica knows of a key.
     pub fn report(&self, now: Timestamp, key: IdempotencyKey) -> KeyReport {
         let replicas = ReplicaSets::of(&self.roster, key);
         KeyReport {
@@ -234,7 +239,7 @@
         }
     }
 
-    /// The verdict that follows from the record alone; none if the key is free.
+    /// The verdict that follows from the record of the key; `None` if the key is free.
     fn known_verdict(&self, request: &ClaimRequest) -> Option<Verdict> {
         let record = self.store.get(request.key)?;
         let same_claim = record.holder == request.claim;
@@ -275,8 +280,9 @@
     record.state != RecordState::Released
 }
 
-/// A replica reads from others only while no change of the roster is in progress.
-fn rejoin_of(now: Timestamp, settings: &ClaimSettings) -> Option<Rejoin> {
+/// Creates the rejoin of a replica that starts. A replica reads from others only while
+/// no change of the roster is in progress, and not at the first start of a fleet.
+fn new_rejoin(now: Timestamp, settings: &ClaimSettings) -> Option<Rejoin> {
     if settings.bootstrap || !settings.roster.previous.is_empty() {
         return None;
     }
--- a/crates/coordination/src/claims/roster.rs
+++ b/crates/coordination/src/claims/roster.rs
@@ -1,4 +1,5 @@
-//! Which members of the roster are the replicas of a key, and what a majority is.
+//! Chooses the members of the roster that are the replicas of a key, and defines
+//! majorities.
 
 use std::collections::BTreeSet;
 
@@ -6,21 +7,22 @@
 use lifthollow_state::{IdempotencyKey, NodeId, Side};
 use xxhash_rust::xxh3::{Xxh3, xxh3_64_with_seed};
 
-/// Replicas of each key; smaller rosters use all their members.
+/// Number of replicas of each key; smaller rosters use all their members.
 pub const REPLICAS_PER_KEY: usize = 5;
 
 /// The replicas of one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaSets {
-    /// By the roster's members.
+    /// Replicas chosen from the members of the roster.
     pub current: Vec<NodeId>,
-    /// By the members before a change in progress; empty if there is none.
+    /// Replicas chosen from the members before a roster change in progress; empty if no
+    /// change is in progress.
     pub previous: Vec<NodeId>,
 }
 
 impl ReplicaSets {
-    /// The replicas of `key` by `roster`. It depends on nothing else, so every
-    /// node with this roster chooses the same.
+    /// Chooses the replicas of `key` from `roster`. The choice depends on nothing else,
+    /// so every node with the same roster chooses the same replicas.
     pub fn of(roster: &Roster, key: IdempotencyKey) -> Self {
         ReplicaSets {
             current: choose(&roster.members, key),
@@ -28,12 +30,12 @@
         }
     }
 
-    /// All replicas, each once.
+    /// All current and previous replicas, each once.
     pub fn all(&self) -> BTreeSet<NodeId> {
         self.current.iter().chain(&self.previous).copied().collect()
     }
 
-    /// Whether `node` is a replica.
+    /// Whether `node` is a current or previous replica.
     pub fn contains(&self, node: NodeId) -> bool {
         self.current.contains(&node) || self.previous.contains(&node)
     }
@@ -49,12 +51,12 @@
     }
 }
 
-/// The smallest count of replicas of which any two sets share one.
+/// The smallest size at which any two subsets of the replicas share a replica.
 pub fn majority(replicas: usize) -> usize {
     replicas / 2 + 1
 }
 
-/// The name of a roster inside messages.
+/// The version that identifies a roster in messages.
 pub fn version_of(roster: &Roster) -> RosterVersion {
     let mut hasher = Xxh3::new();
     for members in [&roster.members, &roster.previous] {
@@ -71,21 +73,25 @@
     }
 }
 
-/// Takes members by rendezvous hashing, from zones and sides not yet used as
-/// long as there are any: no zone twice and at most a majority from one side.
+/// Chooses members by rendezvous hashing. As long as there are enough members, no two
+/// come from one zone and at most a majority comes from one side.
 fn choose(members: &[RosterMember], key: IdempotencyKey) -> Vec<NodeId> {
     let mut ranked: Vec<&RosterMember> = members.iter().collect();
     ranked.sort_by_cached_key(|member| (rank(member.node, key), member.node));
     let mut chosen: Vec<&RosterMember> = Vec::with_capacity(REPLICAS_PER_KEY);
-    for allowed in [zone_and_side_free, zone_free, not_chosen] {
-        take(&ranked, allowed, &mut chosen);
+    for allowed in [has_free_zone_and_side, has_free_zone, is_not_chosen] {
+        add_allowed(&ranked, allowed, &mut chosen);
     }
     chosen.iter().map(|member| member.node).collect()
 }
 
-type Allowed = fn(&[&RosterMember], &RosterMember) -> bool;
+type Constraint = fn(&[&RosterMember], &RosterMember) -> bool;
 
-fn take<'a>(ranked: &[&'a RosterMember], allowed: Allowed, chosen: &mut Vec<&'a RosterMember>) {
+fn add_allowed<'a>(
+    ranked: &[&'a RosterMember],
+    allowed: Constraint,
+    chosen: &mut Vec<&'a RosterMember>,
+) {
     for member in ranked {
         if chosen.len() < REPLICAS_PER_KEY && allowed(chosen, member) {
             chosen.push(member);
@@ -93,21 +99,21 @@
     }
 }
 
-fn zone_and_side_free(chosen: &[&RosterMember], member: &RosterMember) -> bool {
-    zone_free(chosen, member) && side_free(chosen, member.side)
+fn has_free_zone_and_side(chosen: &[&RosterMember], member: &RosterMember) -> bool {
+    has_free_zone(chosen, member) && has_free_side(chosen, member.side)
 }
 
-fn zone_free(chosen: &[&RosterMember], member: &RosterMember) -> bool {
+fn has_free_zone(chosen: &[&RosterMember], member: &RosterMember) -> bool {
     let same_zone = |other: &&RosterMember| (other.side, other.zone) == (member.side, member.zone);
     !chosen.iter().any(same_zone)
 }
 
-fn side_free(chosen: &[&RosterMember], side: Side) -> bool {
+fn has_free_side(chosen: &[&RosterMember], side: Side) -> bool {
     let on_side = chosen.iter().filter(|other| other.side == side).count();
     on_side < majority(REPLICAS_PER_KEY)
 }
 
-fn not_chosen(chosen: &[&RosterMember], member: &RosterMember) -> bool {
+fn is_not_chosen(chosen: &[&RosterMember], member: &RosterMember) -> bool {
     !chosen.iter().any(|other| other.node == member.node)
 }
 
--- a/crates/coordination/src/claims/settings.rs
+++ b/crates/coordination/src/claims/settings.rs
@@ -1,36 +1,37 @@
-//! What a node must be told about claims, and the times that safety rests on.
+//! Settings of the claims of a node, and the durations that at-most-once execution
+//! depends on.
 
 use std::time::Duration;
 
 use lifthollow_protocol::Roster;
 use lifthollow_state::{Incarnation, NodeId};
 
-/// Bound on the rate by which a clock differs from true time, in percent. Two
-/// clocks that differ by this much in opposite directions, and the rounding of
-/// the sum, need three times the bound.
+/// Upper bound of the rate by which a clock may differ from true time, in percent. Two
+/// clocks that differ by this much in opposite directions, and the rounding of the sum,
+/// need three times the bound.
 const CLOCK_DRIFT_PERCENT: u32 = 1;
 const DRIFT_MARGIN_PERCENT: u32 = 3 * CLOCK_DRIFT_PERCENT;
 
-/// What a node knows about claims from its settings.
+/// Settings of the claims of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimSettings {
-    /// The node.
+    /// The node that the settings are for.
     pub node: NodeId,
-    /// The life of this process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// The replicas of all keys.
+    /// The roster, whose members are the replicas of all keys.
     pub roster: Roster,
-    /// Two runs of one key start at least this far apart.
+    /// Minimum time between the starts of two runs with the same key.
     pub lifetime: Duration,
-    /// A run starts at most this long after its claim was first sent.
+    /// Maximum time from the first sending of a claim to the start of its run.
     pub start_window: Duration,
     /// How long the records of a replica that stopped as planned are kept for the
     /// process that replaces it.
     pub handover_validity: Duration,
-    /// No process of this roster held claims before: vote at once. Only true for
-    /// the very first start of a fleet.
+    /// Whether this replica votes immediately, because no process of this roster held
+    /// claims before. Must only be true for the very first start of a fleet.
     pub bootstrap: bool,
-    /// Seed of the node's random choices.
+    /// Seed of the random generator of this node's claims.
     pub seed: u64,
 }
 
@@ -57,20 +58,21 @@
         }
     }
 
-    /// How long a replica keeps a record on its own clock: the lifetime and the
-    /// start window, stretched so that a fast clock does not cut them short.
+    /// How long a replica keeps a record by its own clock: the lifetime and the start
+    /// window, extended so that a fast clock does not shorten them.
     pub fn retention(&self) -> Duration {
-        stretch(self.lifetime + self.start_window)
+        extend_for_drift(self.lifetime + self.start_window)
     }
 
-    /// How long a replaced replica waits on its own clock until every claim that
-    /// its predecessor voted for has either its majority or no chance of one, and
-    /// no handover of an earlier process is valid any more.
+    /// How long a replaced replica waits by its own clock before it reads the claims of
+    /// other members. After that time, every claim that its predecessor voted for either
+    /// has its majority or can no longer reach one, and no handover of an earlier process
+    /// is valid.
     pub fn settle_time(&self) -> Duration {
-        stretch(self.start_window.max(self.handover_validity))
+        extend_for_drift(self.start_window.max(self.handover_validity))
     }
 }
 
-fn stretch(duration: Duration) -> Duration {
+fn extend_for_drift(duration: Duration) -> Duration {
     duration * (100 + DRIFT_MARGIN_PERCENT) / 100
 }
--- a/crates/coordination/src/claims/tally.rs
+++ b/crates/coordination/src/claims/tally.rs
@@ -8,20 +8,20 @@
 
 use super::roster::ReplicaSets;
 
-/// What the votes so far amount to.
+/// Result of counting the votes received so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Count {
     /// A majority granted the claim.
     Granted,
-    /// A majority says that one other claim holds the key.
+    /// A majority reports that this claim holds the key.
     HeldBy(ClaimId),
-    /// No majority can come about with the votes given.
+    /// The votes received rule out a majority for the claim.
     Impossible,
     /// More votes are needed.
     Open,
 }
 
-/// A vote as far as counting needs it.
+/// The part of a replica's verdict that is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Vote {
     Granted,
@@ -30,14 +30,15 @@
     Full,
 }
 
-/// The votes on one claim, the last of each replica.
+/// The votes on one claim: the latest of each replica.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     votes: BTreeMap<NodeId, Vote>,
 }
 
 impl Tally {
-    /// Adds a vote; a verdict that is no vote takes back an earlier one.
+    /// Adds the vote of a replica. A verdict that is not a vote removes the replica's
+    /// earlier vote.
     pub fn add(&mut self, replica: NodeId, verdict: &Verdict) {
         let vote = match verdict {
             Verdict::Granted => Vote::Granted,
@@ -52,7 +53,7 @@
         self.votes.insert(replica, vote);
     }
 
-    /// What the votes amount to.
+    /// Counts the votes against the majorities of `replicas`.
     pub fn count(&self, replicas: &ReplicaSets) -> Count {
         if replicas.has_majority(|node| self.votes.get(&node) == Some(&Vote::Granted)) {
             return Count::Granted;
@@ -66,24 +67,24 @@
         Count::Impossible
     }
 
-    /// Whether a replica named a holder that is none of `own` claims.
+    /// Whether a replica reported a holder that is not one of the claims `own`.
     pub fn is_held_by_other(&self, own: &BTreeSet<ClaimId>) -> bool {
         let is_other = |vote: &Vote| matches!(vote, Vote::Held(holder) if !own.contains(holder));
         self.votes.values().any(is_other)
     }
 
-    /// Whether a replica named any holder.
+    /// Whether a replica reported any holder.
     pub fn is_held(&self) -> bool {
         let is_held = |vote: &Vote| matches!(vote, Vote::Held(_));
         self.votes.values().any(is_held)
     }
 
-    /// Whether a replica granted the claim.
+    /// Whether this replica granted the claim.
     pub fn has_granted(&self, replica: NodeId) -> bool {
         self.votes.get(&replica) == Some(&Vote::Granted)
     }
 
-    /// The time until the last of the abstaining replicas votes again.
+    /// Time until all abstaining replicas vote again; `None` if no replica abstains.
     pub fn longest_abstention(&self) -> Option<Duration> {
         let abstention = |vote: &Vote| match vote {
             Vote::Abstained(votes_in) => Some(*votes_in),
--- a/crates/coordination/src/fleet/membership/prober.rs
+++ b/crates/coordination/src/fleet/membership/prober.rs
@@ -120,7 +120,7 @@
     }
 
     /// Repeats probes without an answer, returns failed ones and, in every
-    /// [`TICKS_PER_PROBE`]-th tick, starts one.
+    /// `TICKS_PER_PROBE`-th tick, starts one.
     pub fn tick(
         &mut self,
         now: Timestamp,
--- a/crates/coordination/tests/claims_network.rs
+++ b/crates/coordination/tests/claims_network.rs
@@ -1,4 +1,5 @@
-//! The sides are cut, messages are lost, processes pause and clocks drift.
+//! Tests that no key runs twice despite partitions, lost messages, pauses and clock
+//! drift.
 
 mod claims_support;
 
@@ -16,9 +17,9 @@
 const MINUTE: Duration = Duration::from_secs(60);
 
 #[test]
-fn across_a_cut_only_the_side_with_the_majority_runs_the_key() {
+fn in_a_partition_only_the_side_with_the_majority_runs_the_key() {
     let mut fleet = TestFleet::new();
-    fleet.cut(&OLD_SIDE, &NEW_SIDE);
+    fleet.partition(&OLD_SIDE, &NEW_SIDE);
     let (id, old) = fleet.call(OLD_SIDE_NODE, BODY);
     let (_, new) = fleet.call(NEW_SIDE_NODE, BODY);
     assert!(is_granted(&old));
@@ -33,9 +34,9 @@
 }
 
 #[test]
-fn a_claim_refused_behind_a_cut_is_free_after_it() {
+fn a_key_refused_in_a_partition_is_free_after_it() {
     let mut fleet = TestFleet::new();
-    fleet.cut(&OLD_SIDE, &NEW_SIDE);
+    fleet.partition(&OLD_SIDE, &NEW_SIDE);
     let (_, during) = fleet.call(NEW_SIDE_NODE, BODY);
     assert_eq!(reason_of(&during), Some(RefusalReason::NoQuorum));
     fleet.heal();
@@ -44,18 +45,18 @@
 }
 
 #[test]
-fn a_key_claimed_on_one_side_is_unknown_to_a_majority_that_saw_it() {
+fn a_key_claimed_on_one_side_is_refused_as_unknown_on_the_other() {
     let mut fleet = TestFleet::new();
     fleet.call(NEW_SIDE_NODE, BODY);
-    fleet.cut(&OLD_SIDE, &NEW_SIDE);
+    fleet.partition(&OLD_SIDE, &NEW_SIDE);
     let (_, repeat) = fleet.call(OLD_SIDE_NODE, BODY);
     assert!(is_unknown(&repeat));
 }
 
 #[test]
-fn votes_that_a_paused_node_finds_on_waking_are_not_counted() {
+fn votes_received_after_a_pause_beyond_the_window_are_not_counted() {
     let mut fleet = TestFleet::new();
-    let id = fleet.want(OLD_SIDE_NODE, KEY, BODY);
+    let id = fleet.start_call(OLD_SIDE_NODE, KEY, BODY);
     fleet.pause(OLD_SIDE_NODE);
     fleet.advance(MINUTE);
     fleet.resume(OLD_SIDE_NODE);
@@ -70,10 +71,10 @@
 }
 
 #[test]
-fn a_resumed_node_asks_again_under_a_new_claim() {
+fn a_resumed_node_requests_a_new_claim() {
     let mut fleet = TestFleet::new();
-    fleet.cut(&[OLD_SIDE_NODE], &[0, 1, 2, 3, 4]);
-    let id = fleet.want(OLD_SIDE_NODE, KEY, BODY);
+    fleet.partition(&[OLD_SIDE_NODE], &[0, 1, 2, 3, 4]);
+    let id = fleet.start_call(OLD_SIDE_NODE, KEY, BODY);
     fleet.pause(OLD_SIDE_NODE);
     fleet.advance(Duration::from_secs(3));
     fleet.resume(OLD_SIDE_NODE);
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn a_holder_that_was_paused_past_its_start_window_gives_the_key_back() {
+fn a_holder_paused_past_its_start_window_releases_the_key() {
     let mut fleet = TestFleet::new();
     let asked_at = fleet.now;
     let (id, decision) = fleet.call(OLD_SIDE_NODE, BODY);
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn clocks_that_drift_by_one_percent_keep_the_lifetime_between_two_runs() {
+fn one_percent_clock_drift_keeps_the_lifetime_between_two_runs() {
     let settings = ClaimSettings::new(node(0), Incarnation(1), roster(1, &[0], &[]), 0);
     let shortest_retention = settings.retention().mul_f64(1.0 / 1.01);
     let longest_window = settings.start_window.mul_f64(1.0 / 0.99);
@@ -118,10 +119,10 @@
 }
 
 #[test]
-fn an_outcome_reaches_replicas_that_were_cut_off_when_it_was_recorded() {
+fn an_outcome_reaches_replicas_that_were_partitioned_when_it_was_recorded() {
     let mut fleet = TestFleet::new();
     let (id, _) = fleet.call(OLD_SIDE_NODE, BODY);
-    fleet.cut(&[OLD_SIDE_NODE], &[0, 1, 2, 3, 4]);
+    fleet.partition(&[OLD_SIDE_NODE], &[0, 1, 2, 3, 4]);
     fleet.end(OLD_SIDE_NODE, id, completed("receipt 1"));
     let (_, before) = fleet.call(NEW_SIDE_NODE, BODY);
     assert!(is_unknown(&before));
--- a/crates/coordination/tests/claims_record.rs
+++ b/crates/coordination/tests/claims_record.rs
@@ -1,4 +1,4 @@
-//! What a replica remembers is bounded in time and in bytes.
+//! Tests that the records of a replica are limited in lifetime and memory.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 use lifthollow_protocol::{ClaimId, RecordedAnswer, RecordedOutcome};
 use lifthollow_state::{IdempotencyKey, Incarnation, NodeId, Timestamp};
 
-fn record(expires_at: Timestamp, body: usize) -> Record {
+fn record(expires_at: Timestamp, body_bytes: usize) -> Record {
     let answer = RecordedAnswer {
         status: 200,
         headers: Vec::new(),
-        body: vec![0; body],
+        body: vec![0; body_bytes],
     };
     Record {
         holder: ClaimId {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn records_and_their_bytes_are_gone_when_their_time_has_come() {
+fn expired_records_are_deleted_and_their_bytes_no_longer_counted() {
     let mut store = RecordStore::default();
     for number in 0..100_u64 {
         let expires_at = Timestamp::ZERO + Duration::from_secs(number);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_record_that_was_replaced_by_a_later_one_is_kept_until_the_later_one_expires() {
+fn a_replaced_record_is_kept_until_its_replacement_expires() {
     let mut store = RecordStore::default();
     let key = IdempotencyKey(1);
     let at = |seconds| Timestamp::ZERO + Duration::from_secs(seconds);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_full_store_refuses_new_keys_and_keeps_the_old_ones() {
+fn a_full_store_rejects_new_keys_and_keeps_existing_ones() {
     let mut store = RecordStore::default();
     let expires_at = Timestamp::ZERO + Duration::from_secs(1);
     let mut number = 0;
@@ -69,8 +69,8 @@
         number += 1;
     }
     assert!(store.bytes() <= MAX_RECORD_BYTES);
-    let refused = store.put(IdempotencyKey(number), record(expires_at, 1_000));
-    assert_eq!(refused, Err(StoreFull));
+    let rejected = store.put(IdempotencyKey(number), record(expires_at, 1_000));
+    assert_eq!(rejected, Err(StoreFull));
     assert_eq!(store.len() as u128, number);
     assert!(store.get(IdempotencyKey(0)).is_some());
 }
--- a/crates/coordination/tests/claims_repeat.rs
+++ b/crates/coordination/tests/claims_repeat.rs
@@ -1,4 +1,5 @@
-//! A call is repeated: elsewhere, while it runs, after it ran, with another body.
+//! Tests repeats of a call with the same idempotency key: on another node, while the
+//! first call runs, after it ran, and with another body.
 
 mod claims_support;
 
@@ -13,7 +14,7 @@
 const OUTSIDE_ROSTER: usize = 6;
 
 #[test]
-fn a_repeat_on_the_other_side_is_given_the_recorded_answer() {
+fn a_repeat_on_another_node_gets_the_recorded_answer() {
     let mut fleet = TestFleet::new();
     let (id, first) = fleet.call(OLD_SIDE_NODE, BODY);
     assert!(is_granted(&first));
@@ -26,12 +27,12 @@
 }
 
 #[test]
-fn a_repeat_while_the_first_runs_is_refused_as_unknown_at_once() {
+fn a_repeat_during_the_first_run_is_immediately_refused_as_unknown() {
     let mut fleet = TestFleet::new();
     fleet.call(OLD_SIDE_NODE, BODY);
 
     for index in [NEW_SIDE_NODE, OLD_SIDE_NODE] {
-        let id = fleet.want(index, KEY, BODY);
+        let id = fleet.start_call(index, KEY, BODY);
         fleet.advance(Duration::from_millis(3));
         let repeat = fleet.decision(index, id);
         assert!(is_unknown(&repeat));
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn a_repeat_of_a_call_that_the_back_end_shed_is_run() {
+fn a_repeat_of_a_call_that_the_back_end_refused_runs() {
     let mut fleet = TestFleet::new();
     let (id, _) = fleet.call(OLD_SIDE_NODE, BODY);
     fleet.end(OLD_SIDE_NODE, id, RunEnd::NotStarted);
@@ -76,10 +77,10 @@
 }
 
 #[test]
-fn of_calls_made_at_once_on_all_nodes_exactly_one_runs() {
+fn of_simultaneous_calls_on_all_nodes_exactly_one_runs() {
     let mut fleet = TestFleet::new();
     let ids: Vec<_> = (0..NODES)
-        .map(|index| fleet.want(index, KEY, BODY))
+        .map(|index| fleet.start_call(index, KEY, BODY))
         .collect();
     fleet.advance(Duration::from_millis(600));
 
@@ -93,9 +94,9 @@
 }
 
 #[test]
-fn a_call_whose_caller_left_before_the_grant_leaves_the_key_free() {
+fn a_call_abandoned_before_the_grant_leaves_the_key_free() {
     let mut fleet = TestFleet::new();
-    let id = fleet.want(OLD_SIDE_NODE, KEY, BODY);
+    let id = fleet.start_call(OLD_SIDE_NODE, KEY, BODY);
     fleet.handle(OLD_SIDE_NODE, ClaimEvent::Abandoned { id });
     fleet.advance(Duration::from_millis(10));
     assert!(!fleet.is_decided(OLD_SIDE_NODE, id));
@@ -107,7 +108,7 @@
 #[test]
 fn a_claim_takes_one_round_trip_and_at_most_twenty_messages() {
     let mut fleet = TestFleet::new();
-    let id = fleet.want(OUTSIDE_ROSTER, KEY, BODY);
+    let id = fleet.start_call(OUTSIDE_ROSTER, KEY, BODY);
     fleet.advance(Duration::from_millis(2));
     assert!(is_granted(&fleet.decision(OUTSIDE_ROSTER, id)));
     fleet.end(OUTSIDE_ROSTER, id, completed("receipt 1"));
--- a/crates/coordination/tests/claims_roster.rs
+++ b/crates/coordination/tests/claims_roster.rs
@@ -1,4 +1,5 @@
-//! Which nodes are replicas, and how the roster changes.
+//! Tests the choice of replicas, and that no key runs twice during and after changes of
+//! the roster.
 
 mod claims_support;
 
@@ -17,11 +18,11 @@
 const CALLER: usize = 6;
 const RETENTION: Duration = Duration::from_secs(630);
 
-fn hand_roster(fleet: &mut TestFleet, to: usize, roster: &Roster) {
+fn deliver_roster(fleet: &mut TestFleet, to: usize, roster: &Roster) {
     fleet.inject(to, CALLER, ClaimMessage::Roster(roster.clone()));
 }
 
-/// 68 members in 17 zones on two sides.
+/// A roster of 68 members in 17 zones on two sides.
 fn large_roster() -> Roster {
     let members = (0..68).map(|index| RosterMember {
         zone: Zone((index % 17) as u16),
@@ -34,7 +35,7 @@
     }
 }
 
-fn is_spread(key: u64) -> bool {
+fn replicas_are_spread(key: u64) -> bool {
     let roster = large_roster();
     let replicas = ReplicaSets::of(&roster, IdempotencyKey(u128::from(key)));
     let chosen = roster
@@ -47,11 +48,11 @@
 }
 
 #[test]
-fn replicas_are_five_in_different_zones_with_three_on_a_side_at_most() {
+fn a_key_has_five_replicas_in_different_zones_and_at_most_three_on_a_side() {
     QuickCheck::new()
         .tests(500)
         .rng(Gen::from_size_and_seed(100, 1))
-        .quickcheck(is_spread as fn(u64) -> bool);
+        .quickcheck(replicas_are_spread as fn(u64) -> bool);
 }
 
 #[test]
@@ -68,11 +69,11 @@
 }
 
 #[test]
-fn a_node_with_an_older_roster_learns_the_newer_one_and_claims_by_it() {
+fn a_node_with_an_older_roster_adopts_the_newer_one_and_claims_with_it() {
     let mut fleet = TestFleet::new();
     let change = roster(2, &NEW_MEMBERS, &OLD_MEMBERS);
     for index in 0..6 {
-        hand_roster(&mut fleet, index, &change);
+        deliver_roster(&mut fleet, index, &change);
     }
     assert_eq!(fleet.claims[CALLER].roster().epoch, 1);
     let (_, decision) = fleet.call(CALLER, BODY);
@@ -81,23 +82,23 @@
 }
 
 #[test]
-fn a_claim_made_before_a_change_holds_during_and_after_it() {
+fn a_claim_made_before_a_roster_change_holds_during_it() {
     let mut fleet = TestFleet::new();
     fleet.call(CALLER, BODY);
     let change = roster(2, &NEW_MEMBERS, &OLD_MEMBERS);
-    hand_roster(&mut fleet, 5, &change);
+    deliver_roster(&mut fleet, 5, &change);
     let (_, during) = fleet.call(5, BODY);
     assert!(is_unknown(&during));
 }
 
 #[test]
-fn during_a_change_a_majority_of_both_rosters_is_needed() {
+fn a_claim_during_a_roster_change_needs_a_majority_of_both_rosters() {
     let mut fleet = TestFleet::new();
     let change = roster(2, &[3, 4, 5, 6], &OLD_MEMBERS);
     for index in 0..NODES {
-        hand_roster(&mut fleet, index, &change);
+        deliver_roster(&mut fleet, index, &change);
     }
-    fleet.cut(&[3, 4, 5, 6], &[0, 1, 2]);
+    fleet.partition(&[3, 4, 5, 6], &[0, 1, 2]);
     let (_, decision) = fleet.call(CALLER, BODY);
     assert_eq!(reason_of(&decision), Some(RefusalReason::NoQuorum));
     fleet.heal();
@@ -106,37 +107,37 @@
 }
 
 #[test]
-fn after_the_end_of_a_change_replicas_vote_only_when_they_saw_all_claims() {
+fn after_a_roster_change_replicas_vote_only_when_they_saw_all_claims() {
     let mut fleet = TestFleet::new();
     let change = roster(2, &NEW_MEMBERS, &OLD_MEMBERS);
     let end = roster(3, &NEW_MEMBERS, &[]);
-    hand_roster(&mut fleet, 5, &change);
+    deliver_roster(&mut fleet, 5, &change);
     fleet.advance(Duration::from_secs(60));
-    hand_roster(&mut fleet, 5, &end);
+    deliver_roster(&mut fleet, 5, &end);
     assert!(!fleet.claims[5].report(fleet.now, KEY).votes);
     fleet.advance(RETENTION);
     assert!(fleet.claims[5].report(fleet.now, KEY).votes);
 }
 
 #[test]
-fn a_replica_that_missed_a_step_abstains_for_one_retention() {
+fn a_replica_that_missed_a_roster_abstains_for_one_retention() {
     let mut fleet = TestFleet::new();
     let end = roster(3, &NEW_MEMBERS, &[]);
-    hand_roster(&mut fleet, 1, &end);
+    deliver_roster(&mut fleet, 1, &end);
     assert!(!fleet.claims[1].report(fleet.now, KEY).votes);
     fleet.advance(RETENTION);
     assert!(fleet.claims[1].report(fleet.now, KEY).votes);
 }
 
 #[test]
-fn two_rosters_of_one_epoch_do_not_mix() {
+fn votes_of_different_rosters_with_one_epoch_are_not_combined() {
     let mut fleet = TestFleet::new();
-    let some = roster(2, &NEW_MEMBERS, &OLD_MEMBERS);
+    let one = roster(2, &NEW_MEMBERS, &OLD_MEMBERS);
     let other = roster(2, &[0, 1, 2, 3, 5], &OLD_MEMBERS);
     for index in 0..5 {
-        hand_roster(&mut fleet, index, &some);
+        deliver_roster(&mut fleet, index, &one);
     }
-    hand_roster(&mut fleet, CALLER, &other);
+    deliver_roster(&mut fleet, CALLER, &other);
     let (_, decision) = fleet.call(CALLER, BODY);
     assert_eq!(reason_of(&decision), Some(RefusalReason::NoQuorum));
 }
--- a/crates/coordination/tests/claims_support/mod.rs
+++ b/crates/coordination/tests/claims_support/mod.rs
@@ -1,4 +1,5 @@
-//! A few nodes with claims, whose messages arrive after a fixed delay unless cut.
+//! Simulates a few nodes with claims; messages arrive after a fixed delay unless the
+//! nodes are partitioned.
 
 #![allow(dead_code)]
 
@@ -27,7 +28,8 @@
     NodeId::from_u64(100 + index as u64)
 }
 
-/// Even nodes are on the old side; each has a zone of its own.
+/// The roster member with this index. Members with an even index are on the old side;
+/// each is in a zone of its own.
 pub fn member(index: usize) -> RosterMember {
     RosterMember {
         node: node(index),
@@ -76,37 +78,38 @@
     matches!(decision, ClaimDecision::Granted { .. })
 }
 
-/// The nodes, the messages between them and a common clock.
+/// Simulated nodes, the messages in flight between them and a common clock.
 pub struct TestFleet {
     pub now: Timestamp,
     pub claims: Vec<Claims>,
     pub messages_sent: usize,
     decisions: BTreeMap<(usize, InboundId), ClaimDecision>,
     in_flight: VecDeque<(Timestamp, NodeId, Envelope)>,
-    cut: BTreeSet<(usize, usize)>,
+    partition: BTreeSet<(usize, usize)>,
     paused: BTreeSet<usize>,
     next_id: u64,
 }
 
 impl TestFleet {
-    /// Nodes 0 to 4 are the roster and have run for long.
+    /// Creates a fleet in which nodes 0 to 4 form the roster and vote immediately.
     pub fn new() -> Self {
-        let first = roster(1, &[0, 1, 2, 3, 4], &[]);
-        let claims = (0..NODES).map(|index| start(index, 1, &first, true, Timestamp::ZERO));
+        let initial_roster = roster(1, &[0, 1, 2, 3, 4], &[]);
+        let claims =
+            (0..NODES).map(|index| start_claims(index, 1, &initial_roster, true, Timestamp::ZERO));
         TestFleet {
             now: Timestamp::from_micros(1_000_000),
             claims: claims.collect(),
             messages_sent: 0,
             decisions: BTreeMap::new(),
             in_flight: VecDeque::new(),
-            cut: BTreeSet::new(),
+            partition: BTreeSet::new(),
             paused: BTreeSet::new(),
             next_id: 0,
         }
     }
 
-    /// A call at a node; not decided before time passes.
-    pub fn want(&mut self, index: usize, key: IdempotencyKey, body_digest: u64) -> InboundId {
+    /// Starts the claim of a call on a node; it is decided once time advances.
+    pub fn start_call(&mut self, index: usize, key: IdempotencyKey, body_digest: u64) -> InboundId {
         self.next_id += 1;
         let id = InboundId(self.next_id);
         let wanted = ClaimWanted {
@@ -118,9 +121,9 @@
         id
     }
 
-    /// A call at a node, decided.
+    /// Claims a call with [`KEY`] on a node and returns the decision.
     pub fn call(&mut self, index: usize, body_digest: u64) -> (InboundId, ClaimDecision) {
-        let id = self.want(index, KEY, body_digest);
+        let id = self.start_call(index, KEY, body_digest);
         self.advance(Duration::from_millis(600));
         (id, self.decision(index, id))
     }
@@ -138,30 +141,30 @@
         self.advance(Duration::from_millis(10));
     }
 
-    /// Replaces the processes of nodes by ones that remember nothing.
+    /// Replaces the processes of nodes by ones without records.
     pub fn replace(&mut self, indexes: &[usize]) {
         for index in indexes {
             let roster = self.claims[*index].roster().clone();
             let incarnation = 2 + self.now.as_micros();
-            self.claims[*index] = start(*index, incarnation, &roster, false, self.now);
+            self.claims[*index] = start_claims(*index, incarnation, &roster, false, self.now);
         }
     }
 
-    /// No message passes between the two groups any more.
-    pub fn cut(&mut self, some: &[usize], others: &[usize]) {
-        for one in some {
-            for other in others {
-                self.cut.insert((*one, *other));
-                self.cut.insert((*other, *one));
+    /// Drops all messages between the two groups of nodes from now on.
+    pub fn partition(&mut self, group: &[usize], other_group: &[usize]) {
+        for one in group {
+            for other in other_group {
+                self.partition.insert((*one, *other));
+                self.partition.insert((*other, *one));
             }
         }
     }
 
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.partition.clear();
     }
 
-    /// A paused node handles nothing; what arrives waits.
+    /// Pauses a node; messages to it are delivered when it resumes.
     pub fn pause(&mut self, index: usize) {
         self.paused.insert(index);
     }
@@ -177,8 +180,8 @@
             match effect {
                 ClaimEffect::Send(envelope) => self.send(index, envelope),
                 ClaimEffect::Decided { id, decision } => {
-                    let earlier = self.decisions.insert((index, id), decision);
-                    assert!(earlier.is_none(), "a call is decided once");
+                    let replaced = self.decisions.insert((index, id), decision);
+                    assert!(replaced.is_none(), "a call is decided once");
                 }
             }
         }
@@ -208,7 +211,7 @@
             let sender = (from.as_u64() - 100) as usize;
             if at > self.now || self.paused.contains(&to) {
                 self.in_flight.push_back((at, from, envelope));
-            } else if !self.cut.contains(&(sender, to)) {
+            } else if !self.partition.contains(&(sender, to)) {
                 let message = envelope.message;
                 self.handle(to, ClaimEvent::Received { from, message });
             }
@@ -225,14 +228,14 @@
         }
     }
 
-    /// Hands a message to a node as if another had sent it.
+    /// Delivers a message to node `to` as if node `from` had sent it.
     pub fn inject(&mut self, to: usize, from: usize, message: ClaimMessage) {
         let from = node(from);
         self.handle(to, ClaimEvent::Received { from, message });
     }
 }
 
-fn start(
+fn start_claims(
     index: usize,
     incarnation: u64,
     roster: &Roster,
