--- a/crates/state/src/directory.rs
+++ b/crates/state/src/directory.rs
@@ -1,41 +1,41 @@
-//! Which servers offer which service, as one node knows it.
+//! Directory of the servers of each service, as known to one node.
 
 use std::collections::BTreeMap;
 
 use crate::{NodeId, ServiceName, Side, Zone};
 
-/// Whether a server may be given new work.
+/// Whether a server may be sent new calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ServerState {
-    /// It takes new work.
+    /// The server accepts new calls.
     Serving,
-    /// It has not been heard of for a while; used only when nothing else is left.
+    /// The server has not responded for a while; it is used only if no other server is left.
     Suspected,
-    /// It finishes what it has and takes no new work.
+    /// The server finishes the calls that it has and accepts no new ones.
     Leaving,
 }
 
-/// One server of one service: the node beside its back end.
+/// One server of one service, identified by the node on the back end's machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Server {
-    /// The node to send attempts to.
+    /// The node that receives attempts for this server.
     pub node: NodeId,
-    /// Its data centre.
+    /// The server's data centre.
     pub side: Side,
-    /// Its failure domain.
+    /// The server's failure domain.
     pub zone: Zone,
-    /// Whether it takes new work.
+    /// Whether the server accepts new calls.
     pub state: ServerState,
 }
 
-/// All servers a node knows, by service. Servers are ordered by node.
+/// All servers known to a node, by service. The servers of a service are ordered by node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Directory {
     services: BTreeMap<ServiceName, Vec<Server>>,
 }
 
 impl Directory {
-    /// Adds a server of `service`, or replaces what was known of that node.
+    /// Adds a server of `service`, or replaces the entry of the same node.
     pub fn insert(&mut self, service: ServiceName, server: Server) {
         let servers = self.services.entry(service).or_default();
         match servers.binary_search_by_key(&server.node, |known| known.node) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Forgets that `node` offers `service`.
+    /// Removes `node` from the servers of `service`.
     pub fn remove(&mut self, service: &ServiceName, node: NodeId) {
         let Some(servers) = self.services.get_mut(service) else {
             return;
@@ -55,7 +55,7 @@
         }
     }
 
-    /// What is known of `node` as a server of `service`.
+    /// Returns the entry of `node` as a server of `service`.
     pub fn server(&self, service: &ServiceName, node: NodeId) -> Option<&Server> {
         let servers = self.services.get(service)?;
         let index = servers
@@ -64,12 +64,12 @@
         Some(&servers[index])
     }
 
-    /// The servers of a service.
+    /// Returns the servers of a service, ordered by node.
     pub fn servers(&self, service: &ServiceName) -> &[Server] {
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// All services with their servers.
+    /// Iterates over all services with their servers.
     pub fn services(&self) -> impl Iterator<Item = (&ServiceName, &[Server])> {
         self.services
             .iter()
--- a/crates/state/src/finding.rs
+++ b/crates/state/src/finding.rs
@@ -1,30 +1,30 @@
-//! Faults found in operators' input, each with its place, reported together.
+//! Validation errors in operators' input, reported together, each with its location.
 
 use std::fmt::{self, Display};
 use std::ops::RangeInclusive;
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// Where in the input a fault was found. Rows and columns count from 1.
+/// Location of an error in the input. Rows and columns count from 1.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Place {
     /// The file as a whole.
     File(Arc<str>),
     /// One cell of a table, or one character of a text file.
     Cell {
-        /// The file's name as the operator gave it.
+        /// Name of the file as the operator gave it.
         file: Arc<str>,
-        /// The line, which is also the row that a spreadsheet shows.
+        /// Number of the line, which is also the row number that a spreadsheet shows.
         row: usize,
-        /// The cell in a table, or the character in a line of text.
+        /// Number of the cell in a table's row, or of the character in a line of text.
         column: usize,
     },
-    /// An argument of the command line, flags with their dashes.
+    /// A command-line argument; flags include their dashes.
     Argument(Arc<str>),
 }
 
 impl Place {
-    /// The place of one cell.
+    /// Creates the location of one cell.
     pub fn cell(file: &Arc<str>, row: usize, column: usize) -> Self {
         Place::Cell {
             file: Arc::clone(file),
@@ -44,12 +44,12 @@
     }
 }
 
-/// One fault and its place.
+/// One error and its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Where it is.
+    /// Location of the error.
     pub place: Place,
-    /// What is wrong and what would be right.
+    /// What is wrong and which values are valid.
     pub message: String,
 }
 
@@ -59,14 +59,14 @@
     }
 }
 
-/// All faults of one input. Displayed one per line as `file:row:column: message`.
+/// All errors found in one input. Displayed one per line as `file:row:column: message`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Findings {
     findings: Vec<Finding>,
 }
 
 impl Findings {
-    /// Adds one fault.
+    /// Adds one error.
     pub fn add(&mut self, place: Place, message: impl Into<String>) {
         self.findings.push(Finding {
             place,
@@ -74,28 +74,28 @@
         });
     }
 
-    /// Adds all faults of another collection.
+    /// Adds all errors of another collection.
     pub fn append(&mut self, other: Findings) {
         self.findings.extend(other.findings);
     }
 
-    /// Orders the faults by place, keeping the order found at each place.
+    /// Sorts the errors by location; errors at the same location keep their order.
     pub fn sort(&mut self) {
         self.findings
             .sort_by(|left, right| left.place.cmp(&right.place));
     }
 
-    /// How many faults there are.
+    /// Returns the number of errors.
     pub fn len(&self) -> usize {
         self.findings.len()
     }
 
-    /// Whether no fault was found.
+    /// Returns whether no error was found.
     pub fn is_empty(&self) -> bool {
         self.findings.is_empty()
     }
 
-    /// The faults in order.
+    /// Iterates over the errors in order.
     pub fn iter(&self) -> impl Iterator<Item = &Finding> {
         self.findings.iter()
     }
@@ -115,8 +115,8 @@
 
 impl std::error::Error for Findings {}
 
-/// Input text as it may be shown inside a message: control characters escaped,
-/// long text cut, between backquotes.
+/// Quotes input text for a message: in backquotes, with control characters escaped
+/// and long text truncated.
 pub fn quoted(text: &str) -> String {
     const MAX_SHOWN_CHARACTERS: usize = 40;
     let shown: String = text
@@ -124,17 +124,17 @@
         .take(MAX_SHOWN_CHARACTERS)
         .flat_map(char::escape_debug)
         .collect();
-    let is_cut = text.chars().nth(MAX_SHOWN_CHARACTERS).is_some();
-    let mark = if is_cut { "..." } else { "" };
-    format!("`{shown}{mark}`")
+    let is_truncated = text.chars().nth(MAX_SHOWN_CHARACTERS).is_some();
+    let ellipsis = if is_truncated { "..." } else { "" };
+    format!("`{shown}{ellipsis}`")
 }
 
-/// The message for text that is none of the values `fault` describes.
+/// Returns the message for text that is not one of the valid values described by `fault`.
 pub fn unknown(text: &str, fault: impl Display) -> String {
     format!("{} is not valid: {fault}", quoted(text))
 }
 
-/// Reads a whole number inside its bounds; the error is a finding's message.
+/// Parses a whole number within `bounds`; the error is the message of a [`Finding`].
 pub fn bounded_number<T>(text: &str, bounds: &RangeInclusive<T>) -> Result<T, String>
 where
     T: FromStr + PartialOrd + Display,
--- a/crates/state/src/identity.rs
+++ b/crates/state/src/identity.rs
@@ -5,11 +5,11 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// A node, named by the IPv4 address and port on which it speaks to other nodes
-/// (the same port number for TCP and UDP).
+/// A node, identified by the IPv4 address and port on which it communicates with
+/// other nodes (the same port number for TCP and UDP).
 ///
-/// A process that is replaced at the same address has the same `NodeId` and
-/// another [`Incarnation`].
+/// A process that replaces another at the same address has the same `NodeId` and
+/// a different [`Incarnation`].
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(u64);
 
@@ -51,9 +51,9 @@
     }
 }
 
-/// Which life of a node is meant: larger for every process started later at the
-/// same address (the daemon takes microseconds of wall-clock time at its start),
-/// and raised by a running node that refutes a rumour of its own failure.
+/// Incarnation number of a node: larger for every process started later at the
+/// same address (the daemon uses its start time, in microseconds of wall-clock
+/// time), and raised by a running node that refutes a false report of its failure.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
@@ -65,8 +65,8 @@
 pub struct ServiceName(Arc<str>);
 
 impl ServiceName {
-    /// A name that is known to be acceptable; text from outside is read with
-    /// [`FromStr`].
+    /// Creates a name without validating it. Untrusted text is parsed with
+    /// [`FromStr`] instead.
     pub fn new(name: &str) -> Self {
         ServiceName(Arc::from(name))
     }
@@ -93,7 +93,7 @@
     }
 }
 
-/// The text can't be the name of a service.
+/// The text is not a valid service name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "a service name is 1 to {MAX_SERVICE_NAME_LENGTH} of a-z, 0-9, `-`, `_` and `.`, \
@@ -123,10 +123,10 @@
 }
 
 impl Side {
-    /// Both sides, old first.
+    /// Both sides, [`Side::Old`] first.
     pub const ALL: [Side; 2] = [Side::Old, Side::New];
 
-    /// The other side.
+    /// Returns the opposite side.
     pub fn other(self) -> Side {
         match self {
             Side::Old => Side::New,
@@ -161,7 +161,7 @@
     }
 }
 
-/// The text names no side.
+/// The text is neither `old` nor `new`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a side is `old` or `new`")]
 pub struct UnknownSide;
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,8 +1,8 @@
-//! Values that every layer of lifthollow shares: identities, time, the table
-//! and the records of requests.
+//! Data types that every layer of lifthollow shares: identities, time, the table
+//! and the metadata of requests.
 //!
-//! Nothing here does I/O, reads a clock or decides anything. It is the lowest
-//! layer: `state` <- `protocol` <- `coordination` <- `transport` <- programs.
+//! Nothing here does I/O, reads a clock or makes routing decisions. It is the
+//! lowest layer: `state` <- `protocol` <- `coordination` <- `transport` <- programs.
 
 pub mod directory;
 pub mod finding;
--- a/crates/state/src/mesh/codec.rs
+++ b/crates/state/src/mesh/codec.rs
@@ -1,4 +1,4 @@
-//! CBOR forms of standard types: durations as whole microseconds.
+//! CBOR encoding of standard library types: durations are encoded as whole microseconds.
 
 pub(super) mod optional_duration {
     use std::time::Duration;
--- a/crates/state/src/mesh/configuration.rs
+++ b/crates/state/src/mesh/configuration.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration as a whole.
+//! The operators' configuration: routes, services, request limits and tenants.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
@@ -10,27 +10,28 @@
 use crate::mesh::route::Route;
 use crate::mesh::tenant::{KeyDigest, Tenant};
 
-/// What is set for one service.
+/// Settings of one service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ServiceSettings {
-    /// The most connections that each of its servers takes; none if not told.
+    /// Maximum number of connections to each server of the service; none if not configured.
     #[n(0)]
     pub max_connections: Option<u32>,
 }
 
-/// What callers may send. Where a bound isn't given, the node's own holds.
+/// Limits on callers' requests and connections. The node's own default applies to each limit
+/// that is not set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct RequestLimits {
-    /// Size of a request's head, bytes.
+    /// Maximum size of a request's head, bytes.
     #[n(0)]
     pub max_header_bytes: Option<u64>,
-    /// Size of a request's body, bytes.
+    /// Maximum size of a request's body, bytes.
     #[n(1)]
     pub max_body_bytes: Option<u64>,
-    /// How long a head may take to arrive.
+    /// Maximum time for a request's head to arrive.
     #[cbor(n(2), with = "codec::optional_duration")]
     pub header_timeout: Option<Duration>,
-    /// How long a kept connection may stay unused.
+    /// Maximum time that a keep-alive connection may be idle.
     #[cbor(n(3), with = "codec::optional_duration")]
     pub idle_timeout: Option<Duration>,
 }
@@ -38,47 +39,47 @@
 /// One version of the operators' configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Configuration {
-    /// Rises with each change.
+    /// Version number, which rises with each change of the configuration.
     #[n(0)]
     pub version: u64,
     /// All routes.
     #[n(1)]
     pub routes: Vec<Route>,
-    /// All services by name.
+    /// Settings of all services, by service name.
     #[n(2)]
     pub services: BTreeMap<String, ServiceSettings>,
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     #[n(3)]
     pub limits: RequestLimits,
-    /// All tenants. Where there are none, no request needs a key.
+    /// All tenants. If there are none, no request needs an API key.
     #[n(4)]
     pub tenants: Vec<Tenant>,
 }
 
-/// Why a configuration can't be used, with the place.
+/// Why a configuration is invalid, with the route or tenant at fault.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigurationError {
-    /// A prefix that does not begin and end with a slash.
+    /// A route's path prefix does not begin and end with a slash.
     #[error("route {route}: path prefix {prefix:?} must begin and end with a slash")]
     BarePrefix {
         /// The route's name.
         route: String,
-        /// The prefix.
+        /// The invalid path prefix.
         prefix: String,
     },
-    /// No host.
+    /// A route has no host.
     #[error("route {route}: no host")]
     NoHost {
         /// The route's name.
         route: String,
     },
-    /// No destination, or none with a weight.
+    /// A route has no destination, or none with a weight above zero.
     #[error("route {route}: no destination with a weight above zero")]
     NoDestination {
         /// The route's name.
         route: String,
     },
-    /// A destination that is not among the services.
+    /// A route's destination is not among the configured services.
     #[error("route {route}: unknown service {service}")]
     UnknownService {
         /// The route's name.
@@ -86,28 +87,28 @@
         /// The service's name.
         service: String,
     },
-    /// A request could be sent to no server.
+    /// A route allows no attempts, so its requests could be sent to no server.
     #[error("route {route}: at least one attempt must be allowed")]
     NoAttempts {
         /// The route's name.
         route: String,
     },
-    /// Two routes take the same requests.
+    /// Two routes match the same host and path prefix.
     #[error("route {route}: another route has its host and path prefix")]
     DuplicateMatch {
         /// The route's name.
         route: String,
     },
-    /// A tenant that can't be told to servers.
+    /// A tenant has no name by which it could be identified to servers.
     #[error("a tenant has no name")]
     UnnamedTenant,
-    /// Two tenants have one name.
+    /// Two tenants have the same name.
     #[error("tenant {tenant}: another tenant has its name")]
     DuplicateTenant {
         /// The tenant's name.
         tenant: String,
     },
-    /// A key that belongs to two tenants. The key is not named.
+    /// An API key belongs to two tenants. The error does not contain the key.
     #[error("tenant {tenant}: one of its keys is also a key of {other}")]
     SharedKey {
         /// The tenant's name.
@@ -118,7 +119,7 @@
 }
 
 impl Configuration {
-    /// All that is wrong with the configuration; empty if it can be used.
+    /// Validates the configuration and returns every error found; empty if it is valid.
     pub fn findings(&self) -> Vec<ConfigurationError> {
         let mut matches = HashSet::new();
         let mut findings = Vec::new();
--- a/crates/state/src/mesh/mod.rs
+++ b/crates/state/src/mesh/mod.rs
@@ -1,7 +1,7 @@
-//! Values of a mesh of services that is routed by host and path.
+//! Data types of a service mesh that routes requests by host and path.
 //!
-//! A [`Snapshot`] holds all that a node is told from outside: the
-//! [`Configuration`] of the operators and the [`ServerInstance`]s that run.
+//! A [`Snapshot`] holds everything that a node receives from the source: the operators'
+//! [`Configuration`] and the running [`ServerInstance`]s.
 
 mod codec;
 mod configuration;
--- a/crates/state/src/mesh/route.rs
+++ b/crates/state/src/mesh/route.rs
@@ -1,4 +1,4 @@
-//! A route: which requests it takes, where they go, how long they may take.
+//! A route: which requests it matches, where they are sent and how long they may take.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 
 use crate::mesh::codec;
 
-/// Whether a request may be run more than once.
+/// Whether a route's requests are idempotent and so may be retried after they may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum RequestKind {
-    /// It may run any number of times.
+    /// A request may run any number of times.
     #[n(0)]
     Idempotent,
-    /// It may run at most once.
+    /// A request may run at most once.
     #[n(1)]
     NonIdempotent,
 }
@@ -21,51 +21,51 @@
 /// One of the services that a route's requests are split over.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Destination {
-    /// The service's name.
+    /// Name of the destination service.
     #[n(0)]
     pub service: String,
-    /// Its part of the requests, relative to the route's other destinations.
+    /// Share of the requests sent to this service, relative to the route's other destinations.
     #[n(1)]
     pub weight: u32,
 }
 
-/// One row of the operators' configuration.
+/// One route of the operators' configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Route {
     /// The route's name.
     #[n(0)]
     pub name: String,
-    /// The host that requests name, in lower case, without a port.
+    /// The host of matching requests, in lower case, without a port.
     #[n(1)]
     pub host: String,
-    /// What the path begins with; begins and ends with a slash.
+    /// Prefix of the paths of matching requests; it begins and ends with a slash.
     #[n(2)]
     pub path_prefix: String,
-    /// Whether requests may be repeated.
+    /// Whether the route's requests may run more than once.
     #[n(3)]
     pub kind: RequestKind,
-    /// The longest time a request may be held; none if only its deadline counts.
+    /// Maximum time for a request; none if only the request's own deadline applies.
     #[cbor(n(4), with = "codec::optional_duration")]
     pub timeout: Option<Duration>,
-    /// The time within which an answer is worth most.
+    /// Target response time, within which a response has its full value.
     #[cbor(n(5), with = "codec::optional_duration")]
     pub target_latency: Option<Duration>,
-    /// How many servers one request may be sent to; at least 1.
+    /// Maximum number of servers that one request may be sent to; at least 1.
     #[n(6)]
     pub max_attempts: u32,
-    /// Rank of the requests; 0 is the most important.
+    /// Priority of the route's requests; 0 is the most important.
     #[n(7)]
     pub priority: u8,
-    /// Where the requests go; never empty, and some weight is above zero.
+    /// Services that receive the requests; never empty, and at least one weight is above zero.
     #[n(8)]
     pub destinations: Vec<Destination>,
-    /// Whether requests need a tenant's key, wherever there are tenants.
+    /// Whether requests need a tenant's API key; ignored if no tenants are configured.
     #[n(9)]
     pub needs_key: bool,
 }
 
 impl Route {
-    /// Whether a request may be run more than once.
+    /// Returns whether the route's requests may run more than once.
     pub fn is_idempotent(&self) -> bool {
         self.kind == RequestKind::Idempotent
     }
--- a/crates/state/src/mesh/server_instance.rs
+++ b/crates/state/src/mesh/server_instance.rs
@@ -1,4 +1,4 @@
-//! One life of a server.
+//! A server instance: one run of a server process, as the server announces it.
 
 use std::fmt;
 use std::net::SocketAddrV4;
@@ -10,9 +10,10 @@
 use minicbor::encode::{Encoder, Error as EncodeError, Write};
 use minicbor::{Decode, Encode};
 
-/// Names one start of a server: the identity that it announces, and when it started. A server
-/// that takes over an address has another identity; one that starts again may keep it, and then
-/// knows nothing of before. Whatever is known of a server is kept by both together.
+/// Identifies one start of a server process: the server's announced identity and its start time.
+/// A server that takes over an address has another identity. A restarted server may keep its
+/// identity but has lost its state, so records about a server are keyed by identity and start
+/// time together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstanceId {
     name: Arc<str>,
@@ -20,7 +21,7 @@
 }
 
 impl InstanceId {
-    /// The identity with this text, of a server that doesn't say when it started.
+    /// Creates the id of a server that announces `name` without a start time.
     pub fn new(name: &str) -> Self {
         InstanceId {
             name: name.into(),
@@ -28,7 +29,7 @@
         }
     }
 
-    /// The same identity, of the server that started at this Unix time, milliseconds.
+    /// Returns this id with the start time set to a Unix time in milliseconds.
     pub fn started_at(self, milliseconds: u64) -> Self {
         InstanceId {
             started_ms: Some(milliseconds),
@@ -36,18 +37,18 @@
         }
     }
 
-    /// The identity as the server announces it, the same for all of its starts.
+    /// Returns the server's announced identity, which is the same for all of its starts.
     pub fn as_str(&self) -> &str {
         &self.name
     }
 
-    /// Whether both name starts of one server.
+    /// Returns whether both ids belong to the same server, whatever their start times.
     pub fn is_same_server(&self, other: &InstanceId) -> bool {
         self.name == other.name
     }
 }
 
-/// As the server announces it, and when it started if that is known.
+/// Formats as `NAME@STARTED_MS`, or as `NAME` if the start time is not known.
 impl fmt::Display for InstanceId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(&self.name)?;
@@ -79,39 +80,40 @@
     }
 }
 
-/// Whether a server wants new work.
+/// Whether a server accepts new requests, as it announces it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum ServerState {
-    /// It does.
+    /// The server accepts new requests.
     #[n(0)]
     Ready,
-    /// It finishes what it has and ends soon.
+    /// The server finishes the requests that it has and shuts down soon.
     #[n(1)]
     Draining,
 }
 
-/// One life of a server, as it announces itself.
+/// One run of a server process, as the server announces itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerInstance {
-    /// Which life it is.
+    /// The server's identity and start time.
     pub id: InstanceId,
-    /// The service it belongs to.
+    /// Name of the service that the server belongs to.
     pub service: String,
-    /// Where it listens. Only the node beside it can reach it there.
+    /// The address on which the server listens. Only the node on the same machine can reach it.
     pub address: SocketAddrV4,
-    /// The zone it stands in.
+    /// Name of the zone in which the server runs.
     pub zone: String,
-    /// How many requests it works on at once.
+    /// Number of requests that the server processes concurrently.
     pub slots: u32,
-    /// Whether it wants new work.
+    /// Whether the server accepts new requests.
     pub state: ServerState,
-    /// How much longer it stays slow after its start, as of the announcement.
+    /// Remaining warm-up time, as of the announcement, during which the server is slower than
+    /// usual.
     pub warm_up: Duration,
 }
 
 impl ServerInstance {
-    /// Whether it wants new work.
+    /// Returns whether the server accepts new requests.
     pub fn is_ready(&self) -> bool {
         self.state == ServerState::Ready
     }
@@ -141,7 +143,7 @@
             id: InstanceId::decode(decoder, context)?,
             service: decoder.str()?.to_owned(),
             address: SocketAddrV4::from_str(decoder.str()?)
-                .map_err(|_| DecodeError::message("not an IPv4 address and port"))?,
+                .map_err(|_| DecodeError::message("server address is not IPv4 with a port"))?,
             zone: decoder.str()?.to_owned(),
             slots: decoder.u32()?,
             state: ServerState::decode(decoder, context)?,
--- a/crates/state/src/mesh/server_notice.rs
+++ b/crates/state/src/mesh/server_notice.rs
@@ -1,27 +1,27 @@
-//! What a server says of itself in its answers.
+//! What a server reports about itself in its responses.
 
 use std::fmt;
 use std::str::FromStr;
 
 use thiserror::Error;
 
-/// Requests a second: a finite number of 0 or more.
+/// A request rate in requests per second: a finite number of 0 or more.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct RequestRate(f64);
 
-/// A text that is no request rate.
+/// The text or number is not a valid request rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("not a number of 0 or more")]
 pub struct InvalidRate;
 
 impl RequestRate {
-    /// A rate of `per_second` requests a second.
+    /// Creates a rate of `per_second` requests per second.
     pub fn new(per_second: f64) -> Result<Self, InvalidRate> {
         let is_valid = per_second.is_finite() && per_second >= 0.0;
         is_valid.then_some(Self(per_second)).ok_or(InvalidRate)
     }
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
@@ -42,11 +42,13 @@
     }
 }
 
-/// What a server said of itself in its last answer. It holds until an answer says otherwise.
+/// What a server reported about itself in its last response. It applies until a later response
+/// replaces it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerNotice {
-    /// Requests that it takes from all nodes together; none if it names no limit.
+    /// Maximum request rate that the server accepts from all nodes together; none if the server
+    /// reports no limit.
     pub limit: Option<RequestRate>,
-    /// Whether it leaves.
+    /// Whether the server is shutting down.
     pub is_leaving: bool,
 }
--- a/crates/state/src/mesh/snapshot.rs
+++ b/crates/state/src/mesh/snapshot.rs
@@ -1,4 +1,4 @@
-//! All that a node was told from outside, as of one revision.
+//! Configuration and servers that a node received from the source, as of one revision.
 
 use std::collections::BTreeMap;
 
@@ -8,13 +8,13 @@
 use crate::mesh::revision::{Revision, SnapshotVersion};
 use crate::mesh::server_instance::{InstanceId, ServerInstance};
 
-/// A server's announcement and the revision that it was written at.
+/// A server's announcement and the revision at which it was written.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct KnownServer {
-    /// The announcement.
+    /// The server as it announced itself.
     #[n(0)]
     pub instance: ServerInstance,
-    /// The revision of the announcement.
+    /// The revision at which the announcement was written.
     #[n(1)]
     pub revision: Revision,
 }
@@ -26,16 +26,16 @@
     /// The revision up to which the source's changes are included.
     #[n(0)]
     pub revision: Revision,
-    /// The newest usable configuration; none before the first arrived.
+    /// The newest valid configuration; none before the first one arrives.
     #[n(1)]
     pub configuration: Option<Configuration>,
-    /// The servers that have announced themselves and not left.
+    /// The servers whose announcements exist, by server id.
     #[n(2)]
     pub servers: BTreeMap<InstanceId, KnownServer>,
 }
 
 impl Snapshot {
-    /// What a node with this snapshot says of it to others.
+    /// Returns the version that a node with this snapshot reports to other nodes.
     pub fn version(&self) -> SnapshotVersion {
         let configuration = self.configuration.as_ref();
         SnapshotVersion {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The server that announces itself as `id`, whenever it started.
+    /// Returns the server with the identity of `id`, whatever its start time.
     pub fn server(&self, id: &InstanceId) -> Option<&KnownServer> {
         let starts = self.servers.range(InstanceId::new(id.as_str())..);
         let mut starts = starts.take_while(|(known, _)| known.is_same_server(id));
--- a/crates/state/src/request.rs
+++ b/crates/state/src/request.rs
@@ -1,4 +1,4 @@
-//! What a call carries about itself and about the whole request it belongs to.
+//! Metadata of a call and of the end-to-end request that it belongs to.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,30 +7,32 @@
 
 use crate::{ServiceName, Timestamp};
 
-/// The whole request of one listener or shopkeeper, across every hop.
+/// Identifies the end-to-end request of one user, across every hop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u128);
 
 impl RequestId {
-    /// The identity for a name chosen by a client.
+    /// Derives the id from a request name chosen by a client.
     pub fn from_name(name: &str) -> Self {
         RequestId(xxh3_128(name.as_bytes()))
     }
 
-    /// The part of the priority that is the same for the whole request tree, so
-    /// that every hop sheds the same requests first. Uniform over 0 to 127.
+    /// Returns the part of the priority that is derived from the request id and so is
+    /// the same for the whole request tree, so that every hop sheds the same requests
+    /// first. Uniform over 0 to 127.
     pub fn user_priority(self) -> u8 {
         const USER_PRIORITY_BITS: u32 = 7;
         (xxh3_64(&self.0.to_le_bytes()) >> (u64::BITS - USER_PRIORITY_BITS)) as u8
     }
 }
 
-/// A client's name for one operation that must run at most once.
+/// Identifies an operation that must run at most once, from a key chosen by the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IdempotencyKey(pub u128);
 
 impl IdempotencyKey {
-    /// The key for a name chosen by a client, apart for each service.
+    /// Derives the key from a name chosen by a client; the same name gives a different
+    /// key for each service.
     pub fn from_name(service: &ServiceName, name: &str) -> Self {
         IdempotencyKey(xxh3_128(format!("{service}\0{name}").as_bytes()))
     }
@@ -39,11 +41,11 @@
 /// How important a call is to the business. Larger is more important.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PriorityClass {
-    /// Work that may wait or be refused first, such as bulk catalogue pulls.
+    /// Calls that may wait and are refused first, such as bulk catalogue pulls.
     Sheddable,
-    /// Ordinary work.
+    /// Ordinary calls.
     Normal,
-    /// Work refused last: top-ups, billing, publishing.
+    /// Calls that are refused last: top-ups, billing, publishing.
     Critical,
 }
 
@@ -82,39 +84,40 @@
     }
 }
 
-/// The text names no priority class.
+/// The text is not a valid priority class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a priority class is `critical`, `normal` or `sheddable`")]
 pub struct UnknownPriorityClass;
 
-/// Order in which calls are shed: by class, then by user. Larger is shed later.
+/// Order in which calls are shed: by class, then by user priority. Calls with a larger
+/// priority are shed later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Priority {
     /// Importance to the business.
     pub class: PriorityClass,
-    /// Place inside the class, 0 to 127, the same across the request tree.
+    /// User priority within the class, 0 to 127, the same across the request tree.
     pub user: u8,
 }
 
-/// How many retries a call and everything below it may still make.
+/// Number of retries that a call and its nested calls may still make.
 ///
-/// A node lends a part of its allowance with each call it forwards and takes
-/// back what the answer says was not spent, so the sum over the whole request
-/// tree never exceeds what the entry node granted.
+/// A node passes a part of its allowance on with each call it forwards and gets
+/// back the unused retries reported in the answer, so the sum over the whole
+/// request tree never exceeds what the entry node granted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RetryAllowance(pub u8);
 
-/// What every call carries across hops.
+/// Metadata that every call carries across hops.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestContext {
-    /// The whole request.
+    /// Id of the end-to-end request.
     pub request: RequestId,
-    /// When the caller stops waiting, on the local clock.
+    /// Time at which the caller stops waiting, on the local clock.
     pub deadline: Timestamp,
-    /// Order of shedding.
+    /// Priority that determines the order of shedding.
     pub priority: Priority,
-    /// Present on calls that must run at most once.
+    /// Idempotency key; present on calls that must run at most once.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// Retries lent to this call and everything below it.
+    /// Retries that this call and its nested calls may make.
     pub allowance: RetryAllowance,
 }
--- a/crates/state/src/table/cell.rs
+++ b/crates/state/src/table/cell.rs
@@ -1,5 +1,5 @@
-//! How the text of one cell becomes a value. Faults are returned as the second
-//! half of a finding's message.
+//! Parsers for the text of single cells. Errors are returned as the part of a
+//! finding's message that follows the column's name.
 
 use std::str::FromStr;
 use std::time::Duration;
--- a/crates/state/src/table/check.rs
+++ b/crates/state/src/table/check.rs
@@ -1,20 +1,20 @@
-//! The full check of a table's file.
+//! Validation of a table file.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
 
 use super::document::{Document, Record};
 use super::header::Header;
-use super::row::{PartialRow, RowReader, check_beyond};
+use super::row::{PartialRow, RowReader, report_cells_beyond};
 use super::{Column, FILE_MARK, NUMBER_BOUNDS, Table};
 use crate::finding::{Findings, bounded_number, quoted};
 use crate::{ServiceName, Side};
 
-/// Records before the first row: the number and the header.
+/// Number of records before the first row: the one with the table's number and the header.
 const RECORDS_BEFORE_ROWS: usize = 2;
 
-/// Checks a document and builds its table. Every fault is added to `findings`;
-/// the table is only to be used if there is none.
+/// Validates a document and builds its table. Every error is added to `findings`;
+/// the table must not be used if there is any.
 pub(super) fn check(document: &Document, findings: &mut Findings) -> Table {
     let number = check_number(document, findings);
     let header = Header::check(document, findings);
@@ -28,7 +28,7 @@
     Table::new(number, rows.into_values().filter_map(PartialRow::complete))
 }
 
-/// Checks the first record and returns the table's number.
+/// Validates the first record and returns the table's number, or 0 if it is invalid.
 fn check_number(document: &Document, findings: &mut Findings) -> u64 {
     let Some(record) = document.records.first() else {
         let message = format!("the file is empty; its first row must be `{FILE_MARK},NUMBER`");
@@ -36,10 +36,10 @@
         return 0;
     };
     if record.cell(0) != FILE_MARK {
-        findings.add(document.place(record, 0), unmarked(record));
+        findings.add(document.place(record, 0), missing_mark_message(record));
         return 0;
     }
-    check_beyond(document, record, RECORDS_BEFORE_ROWS, findings);
+    report_cells_beyond(document, record, RECORDS_BEFORE_ROWS, findings);
     bounded_number(record.cell(1), &NUMBER_BOUNDS).unwrap_or_else(|fault| {
         let message = format!("the table's number: {fault}");
         findings.add(document.place(record, 1), message);
@@ -47,8 +47,8 @@
     })
 }
 
-/// The message for a first record without the mark.
-fn unmarked(record: &Record) -> String {
+/// Returns the message for a first record that does not begin with [`FILE_MARK`].
+fn missing_mark_message(record: &Record) -> String {
     let text = record.cell(0);
     let expected = format!("the first row must be `{FILE_MARK},NUMBER`");
     if text.starts_with(&format!("{FILE_MARK};")) || text.starts_with(&format!("{FILE_MARK}\t")) {
@@ -66,7 +66,7 @@
 }
 
 impl<'a> RowChecker<'a, '_> {
-    /// Checks every row by itself and returns those with a valid key.
+    /// Validates every row by itself and returns those with a valid key.
     fn rows(&mut self) -> Rows<'a> {
         let mut rows = Rows::new();
         for record in self.document.records.iter().skip(RECORDS_BEFORE_ROWS) {
@@ -103,44 +103,61 @@
                 let (service, side) = entry.key();
                 let first = entry.get().record.row;
                 let message = format!("`{service}` `{side}` already has row {first}");
-                self.add(record, Column::Service, message);
+                self.add_finding(record, Column::Service, message);
             }
         }
     }
 
-    fn add(&mut self, record: &Record, column: Column, message: String) {
+    fn add_finding(&mut self, record: &Record, column: Column, message: String) {
         let index = self.header.index(column).unwrap_or(0);
         self.findings
             .add(self.document.place(record, index), message);
     }
 
-    /// Checks what the rows of one service must keep together.
+    /// Validates the rules that span the rows of one service.
     fn services(&mut self, rows: &Rows<'a>) {
         for ((service, side), row) in rows {
             match rows.get(&(service.clone(), side.other())) {
-                Some(other) if *side == Side::Old => self.pair(service, row, other),
-                None => self.total_weight(service, row, Some(0)),
+                Some(other) if *side == Side::Old => self.check_both_sides(service, row, other),
+                None => self.check_total_weight(service, row, Some(0)),
                 Some(_) => {}
             }
         }
     }
 
-    fn pair(&mut self, service: &ServiceName, old: &PartialRow<'a>, new: &PartialRow<'a>) {
-        self.total_weight(service, old, new.weight);
+    fn check_both_sides(
+        &mut self,
+        service: &ServiceName,
+        old: &PartialRow<'a>,
+        new: &PartialRow<'a>,
+    ) {
+        self.check_total_weight(service, old, new.weight);
         let columns = [
-            (Column::Class, differ(old.class, new.class)),
-            (Column::Repeatable, differ(old.repeatable, new.repeatable)),
-            (Column::DeadlineMs, differ(old.deadline, new.deadline)),
+            (Column::Class, valid_and_different(old.class, new.class)),
+            (
+                Column::Repeatable,
+                valid_and_different(old.repeatable, new.repeatable),
+            ),
+            (
+                Column::DeadlineMs,
+                valid_and_different(old.deadline, new.deadline),
+            ),
         ];
         for (column, is_different) in columns {
             if is_different {
-                self.different(service, column, old.record, new.record);
+                self.report_difference(service, column, old.record, new.record);
             }
         }
     }
 
-    /// Reports a difference at the row that stands later in the file.
-    fn different(&mut self, service: &ServiceName, column: Column, old: &Record, new: &Record) {
+    /// Reports a value that differs between both sides, at the later of the two rows in the file.
+    fn report_difference(
+        &mut self,
+        service: &ServiceName,
+        column: Column,
+        old: &Record,
+        new: &Record,
+    ) {
         let (first, second) = match old.row < new.row {
             true => (old, new),
             false => (new, old),
@@ -153,18 +170,23 @@
             quoted(first.cell(index)),
             first.row
         );
-        self.add(second, column, message);
+        self.add_finding(second, column, message);
     }
 
-    fn total_weight(&mut self, service: &ServiceName, row: &PartialRow<'a>, other: Option<u32>) {
+    fn check_total_weight(
+        &mut self,
+        service: &ServiceName,
+        row: &PartialRow<'a>,
+        other: Option<u32>,
+    ) {
         if row.weight == Some(0) && other == Some(0) {
             let message = format!("the weights of `{service}` are all 0; one must be above 0");
-            self.add(row.record, Column::Weight, message);
+            self.add_finding(row.record, Column::Weight, message);
         }
     }
 }
 
-/// Whether both cells are valid and differ.
-fn differ<T: PartialEq>(left: Option<T>, right: Option<T>) -> bool {
+/// Returns whether both cells are valid and differ.
+fn valid_and_different<T: PartialEq>(left: Option<T>, right: Option<T>) -> bool {
     matches!((left, right), (Some(left), Some(right)) if left != right)
 }
--- a/crates/state/src/table/column.rs
+++ b/crates/state/src/table/column.rs
@@ -5,7 +5,7 @@
 
 use super::TableRow;
 
-/// Bounds of `weight`.
+/// Bounds of the relative `weight` of a side.
 pub const WEIGHT_BOUNDS: RangeInclusive<u32> = 0..=10_000;
 /// Bounds of `max_in_flight`, calls.
 pub const MAX_IN_FLIGHT_BOUNDS: RangeInclusive<u32> = 1..=65_535;
@@ -19,28 +19,28 @@
 /// A column of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Column {
-    /// The service's name; with `side`, the key of the row.
+    /// Name of the service; together with `side` it is the key of the row.
     Service,
-    /// The data centre; with `service`, the key of the row.
+    /// The data centre; together with `service` it is the key of the row.
     Side,
-    /// Share of the service's calls for this side.
+    /// Relative share of the service's calls that go to this side.
     Weight,
-    /// Ceiling of running calls at each server.
+    /// Maximum number of concurrent calls at each server.
     MaxInFlight,
-    /// Ceiling of waiting calls at each server.
+    /// Maximum number of queued calls at each server.
     MaxQueue,
-    /// Ceiling of connections to each back end.
+    /// Maximum number of connections to each back end.
     MaxConnections,
-    /// Priority class of calls that state none.
+    /// Priority class of calls that do not state one.
     Class,
-    /// Whether calls without an idempotency key may be run again.
+    /// Whether calls without an idempotency key may run more than once.
     Repeatable,
-    /// Time for calls that state no deadline.
+    /// Maximum duration, in milliseconds, of calls that do not state a deadline.
     DeadlineMs,
 }
 
 impl Column {
-    /// All columns, in the order in which they are written.
+    /// All columns, in the order of the canonical form.
     pub const ALL: [Column; 9] = [
         Column::Service,
         Column::Side,
@@ -53,7 +53,7 @@
         Column::DeadlineMs,
     ];
 
-    /// The word in the table's header.
+    /// Returns the column's name in the table's header.
     pub fn as_str(self) -> &'static str {
         match self {
             Column::Service => "service",
@@ -68,19 +68,19 @@
         }
     }
 
-    /// The column with this word in the header.
+    /// Returns the column with this name in the table's header.
     pub fn from_name(name: &str) -> Option<Self> {
         Column::ALL
             .into_iter()
             .find(|column| column.as_str() == name)
     }
 
-    /// Whether the column is part of the row's key and can't be changed alone.
+    /// Returns whether the column is part of the row's key, which an edit can't change.
     pub fn is_key(self) -> bool {
         matches!(self, Column::Service | Column::Side)
     }
 
-    /// All column names, for messages.
+    /// Returns all column names, separated by commas, for messages.
     pub fn list() -> String {
         Column::ALL.map(Column::as_str).join(", ")
     }
@@ -93,7 +93,7 @@
 }
 
 impl TableRow {
-    /// The text of one cell as it is written in the table.
+    /// Returns the text of one cell in canonical form.
     pub fn cell(&self, column: Column) -> String {
         match column {
             Column::Service => self.service.to_string(),
@@ -108,8 +108,8 @@
         }
     }
 
-    /// The row as a line of CSV with its end, which does not depend on how the
-    /// file was written. No valid cell needs quotes.
+    /// Returns the row as a CSV line in canonical form with its line terminator,
+    /// regardless of how the file was formatted. No valid cell needs quotes.
     pub(super) fn to_csv_line(&self) -> String {
         let cells = Column::ALL.map(|column| self.cell(column));
         cells.join(",") + "\n"
--- a/crates/state/src/table/difference.rs
+++ b/crates/state/src/table/difference.rs
@@ -1,26 +1,26 @@
-//! What differs between two tables.
+//! Comparison of two tables, row by row and cell by cell.
 
 use std::fmt;
 
 use super::{Column, Table, TableRow, TableVersion};
 use crate::{ServiceName, Side};
 
-/// One cell that differs.
+/// One cell whose text differs between two tables.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CellChange {
-    /// The service of the row.
+    /// Service of the row.
     pub service: ServiceName,
-    /// The side of the row.
+    /// Side of the row.
     pub side: Side,
-    /// The column.
+    /// Column of the cell.
     pub column: Column,
-    /// The text in the earlier table.
+    /// Text of the cell in the earlier table.
     pub before: String,
-    /// The text in the later table.
+    /// Text of the cell in the later table.
     pub after: String,
 }
 
-/// Everything that differs between two tables, ordered by service and side.
+/// All differences between two tables, ordered by service and side.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableDifference {
     /// Version of the earlier table.
@@ -31,29 +31,29 @@
     pub added: Vec<TableRow>,
     /// Rows that only the earlier table has.
     pub removed: Vec<TableRow>,
-    /// Cells of rows that both have.
+    /// Cells that differ in rows that both tables have.
     pub changed: Vec<CellChange>,
 }
 
 impl TableDifference {
-    /// Compares two tables.
+    /// Compares an earlier table with a later one.
     pub fn between(before: &Table, after: &Table) -> Self {
         TableDifference {
             before: before.version(),
             after: after.version(),
-            added: rows_without_partner(after, before),
-            removed: rows_without_partner(before, after),
+            added: rows_missing_from(after, before),
+            removed: rows_missing_from(before, after),
             changed: changed_cells(before, after),
         }
     }
 
-    /// Whether the rows of both tables are the same; the numbers may differ.
+    /// Returns whether the rows of both tables are equal; the numbers may differ.
     pub fn is_empty(&self) -> bool {
         self.added.is_empty() && self.removed.is_empty() && self.changed.is_empty()
     }
 }
 
-fn rows_without_partner(table: &Table, other: &Table) -> Vec<TableRow> {
+fn rows_missing_from(table: &Table, other: &Table) -> Vec<TableRow> {
     table
         .rows()
         .filter(|row| other.row(&row.service, row.side).is_none())
@@ -65,11 +65,11 @@
     before
         .rows()
         .filter_map(|row| Some((row, after.row(&row.service, row.side)?)))
-        .flat_map(|(earlier, later)| cells_between(earlier, later))
+        .flat_map(|(earlier, later)| differing_cells(earlier, later))
         .collect()
 }
 
-fn cells_between(earlier: &TableRow, later: &TableRow) -> Vec<CellChange> {
+fn differing_cells(earlier: &TableRow, later: &TableRow) -> Vec<CellChange> {
     Column::ALL
         .into_iter()
         .filter(|column| earlier.cell(*column) != later.cell(*column))
@@ -96,8 +96,8 @@
     }
 }
 
-/// One line for the versions, then `+` for a row added, `-` for a row removed
-/// and `~` for a cell changed.
+/// Formats as one line with the versions, then one line for each added row (`+`),
+/// removed row (`-`) and changed cell (`~`).
 impl fmt::Display for TableDifference {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "version {} -> {}", self.before, self.after)?;
--- a/crates/state/src/table/document.rs
+++ b/crates/state/src/table/document.rs
@@ -1,15 +1,15 @@
-//! The table's file as records with their places, before their meaning is checked.
+//! Splits a table file into CSV records with their locations, before the values are validated.
 
 use std::ops::Range;
 use std::sync::Arc;
 
 use crate::finding::{Findings, Place, quoted};
 
-/// Largest file that is read, bytes. A table of 410 services has about 64 KiB.
+/// Maximum size of a table file, bytes. A table of 410 services has about 64 KiB.
 pub const MAX_FILE_BYTES: usize = 4 * 1024 * 1024;
-/// Most records that are read.
+/// Maximum number of records in a table file.
 pub const MAX_RECORDS: usize = 20_000;
-/// Most cells of one record that are read.
+/// Maximum number of cells in one record.
 pub const MAX_CELLS: usize = 64;
 
 const UTF8_BYTE_ORDER_MARK: &[u8] = b"\xef\xbb\xbf";
@@ -18,33 +18,33 @@
 /// One record of the file that is not blank.
 #[derive(Debug)]
 pub(super) struct Record {
-    /// Line on which it begins, from 1.
+    /// Number of the line on which the record begins, from 1.
     pub(super) row: usize,
-    /// Its bytes in the file, without the line's end.
+    /// Byte range of the record in the file, without its line terminator.
     pub(super) span: Range<usize>,
-    /// Its cells without padding.
+    /// Texts of the record's cells, without surrounding white space.
     pub(super) cells: Vec<String>,
 }
 
 impl Record {
-    /// The cell at an index, empty if the record is too short.
+    /// Returns the text of the cell at `index`, or an empty text if the record is too short.
     pub(super) fn cell(&self, index: usize) -> &str {
         self.cells.get(index).map_or("", String::as_str)
     }
 }
 
-/// The records of a file.
+/// The records of a table file.
 #[derive(Debug)]
 pub(super) struct Document {
-    /// The file's name, for places.
+    /// Name of the file, for the locations of findings.
     pub(super) file: Arc<str>,
     /// All records that are not blank.
     pub(super) records: Vec<Record>,
 }
 
 impl Document {
-    /// Splits a file into records. Faults of encoding and size are added to
-    /// `findings`; what can be read is returned all the same.
+    /// Splits a file into records. Errors in encoding and size are added to
+    /// `findings`; the records that can be read are returned nevertheless.
     pub(super) fn read(file_name: &str, bytes: &[u8], findings: &mut Findings) -> Self {
         let mut document = Document {
             file: Arc::from(file_name),
@@ -56,12 +56,12 @@
         document
     }
 
-    /// The place of a cell by its record and its index from 0.
+    /// Returns the location of the cell at `index`, from 0, of a record.
     pub(super) fn place(&self, record: &Record, index: usize) -> Place {
         Place::cell(&self.file, record.row, index + 1)
     }
 
-    /// The place of the file as a whole.
+    /// Returns the location that stands for the file as a whole.
     pub(super) fn whole(&self) -> Place {
         Place::File(Arc::clone(&self.file))
     }
@@ -97,7 +97,7 @@
         let mut begin = mark_length;
         while let Ok(true) = reader.read_byte_record(&mut raw) {
             let end = mark_length + reader.position().byte() as usize;
-            let span = without_line_ends(bytes, begin..end);
+            let span = trim_line_ends(bytes, begin..end);
             begin = end;
             let row = lines.row_at(span.start);
             if self.records.len() == MAX_RECORDS {
@@ -128,7 +128,7 @@
                 let place = Place::cell(&self.file, row, index + 1);
                 findings.add(place, format!("{} is not UTF-8", quoted(&text)));
             }
-            cells.push(without_padding(&text).to_owned());
+            cells.push(trim_cell(&text).to_owned());
         }
         if cells.iter().any(|cell| !cell.is_empty()) {
             self.records.push(Record { row, span, cells });
@@ -136,9 +136,9 @@
     }
 }
 
-/// The cell's text without surrounding blanks, and without quotes that the
-/// blanks before them kept from being read as such.
-fn without_padding(cell: &str) -> &str {
+/// Returns the cell's text without surrounding white space, and without quotes that
+/// the CSV reader took for text because white space precedes them.
+fn trim_cell(cell: &str) -> &str {
     let trimmed = cell.trim();
     trimmed
         .strip_prefix('"')
@@ -146,8 +146,8 @@
         .map_or(trimmed, str::trim)
 }
 
-/// `span` without line ends at its beginning and its end.
-fn without_line_ends(bytes: &[u8], span: Range<usize>) -> Range<usize> {
+/// Returns `span` without line terminators at its beginning and its end.
+fn trim_line_ends(bytes: &[u8], span: Range<usize>) -> Range<usize> {
     let is_text = |byte: &u8| !matches!(byte, b'\r' | b'\n');
     let slice = &bytes[span.clone()];
     let begin = slice.iter().position(is_text).unwrap_or(slice.len());
@@ -158,7 +158,7 @@
     span.start + begin..span.start + end
 }
 
-/// Counts lines up to rising positions in a file; `\n`, `\r\n` and `\r` end a line.
+/// Counts lines up to increasing byte positions in a file; `\n`, `\r\n` and `\r` end a line.
 struct LineCounter<'a> {
     bytes: &'a [u8],
     position: usize,
--- a/crates/state/src/table/edit.rs
+++ b/crates/state/src/table/edit.rs
@@ -1,44 +1,44 @@
-//! Changing cells of a table's file and leaving the rest as it is.
+//! Edits single cells of a table file and leaves all other bytes unchanged.
 
 use std::collections::BTreeMap;
 
 use super::document::{Document, Record};
 use super::header::Header;
-use super::{Column, NUMBER_BOUNDS, Table, parse, read_checked};
+use super::{Column, NUMBER_BOUNDS, Table, parse, parse_document_and_table};
 use crate::finding::{Findings, quoted};
 use crate::{ServiceName, Side};
 
 const NUMBER_INDEX: usize = 1;
 
-/// One cell and the text it is to have.
+/// An edit of one cell: the cell and its new text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CellEdit {
-    /// The service of the row.
+    /// Service of the row to be edited.
     pub service: ServiceName,
-    /// The side of the row.
+    /// Side of the row to be edited.
     pub side: Side,
-    /// The column.
+    /// Column of the cell to be edited.
     pub column: Column,
-    /// The new text.
+    /// New text of the cell.
     pub value: String,
 }
 
-/// The next version of a table's file.
+/// An edited table file: its content and the table parsed from it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EditedFile {
     /// The new content of the file.
     pub bytes: Vec<u8>,
-    /// The table that the new content holds.
+    /// The table parsed from the new content.
     pub table: Table,
 }
 
-/// Makes the next version of a table's file: the number raised by one and some
-/// cells changed. All bytes of other records stay as they are.
+/// Creates the next version of a table file: raises the table number by one and
+/// changes some cells. All bytes of other records stay unchanged.
 ///
-/// The file is checked in full before the change and after it; `file_name` is
-/// used in the places of findings only.
+/// The file is validated in full before and after the change; `file_name` is only
+/// used in the locations of findings.
 pub fn edit(file_name: &str, bytes: &[u8], edits: &[CellEdit]) -> Result<EditedFile, Findings> {
-    let (document, table) = read_checked(file_name, bytes)?;
+    let (document, table) = parse_document_and_table(file_name, bytes)?;
     let mut editor = Editor {
         header: Header::of(&document.records[1]),
         document: &document,
@@ -57,12 +57,12 @@
     Ok(EditedFile { bytes, table })
 }
 
-/// Changes to a document that is known to be valid.
+/// Pending edits of a valid document.
 struct Editor<'a> {
     document: &'a Document,
     header: Header,
     findings: Findings,
-    /// New texts by index of record and of cell.
+    /// New texts of cells, by record index and then cell index.
     changed: BTreeMap<usize, BTreeMap<usize, String>>,
 }
 
@@ -85,7 +85,7 @@
             column,
             value,
         } = edit;
-        let Some(record_index) = self.find(service, *side) else {
+        let Some(record_index) = self.find_record(service, *side) else {
             let message = format!("no row for `{service}@{side}`");
             self.findings.add(self.document.whole(), message);
             return;
@@ -108,8 +108,8 @@
         self.findings.add(place, fault);
     }
 
-    /// The index of the record with a service's row for a side.
-    fn find(&self, service: &ServiceName, side: Side) -> Option<usize> {
+    /// Returns the index of the record with the row of a service and side.
+    fn find_record(&self, service: &ServiceName, side: Side) -> Option<usize> {
         let service_index = self.header.index(Column::Service)?;
         let side_index = self.header.index(Column::Side)?;
         self.document.records.iter().position(|record| {
@@ -129,14 +129,14 @@
         cells.insert(cell_index, value);
     }
 
-    /// The new content, from the present one.
+    /// Returns the file's content with all pending edits applied to `bytes`.
     fn write(&self, bytes: &[u8]) -> Vec<u8> {
         let mut edited = Vec::with_capacity(bytes.len());
         let mut copied = 0;
         for (index, changes) in &self.changed {
             let record = &self.document.records[*index];
             edited.extend(&bytes[copied..record.span.start]);
-            edited.extend(with_changes(record, changes));
+            edited.extend(line_with_changes(record, changes));
             copied = record.span.end;
         }
         edited.extend(&bytes[copied..]);
@@ -144,13 +144,17 @@
     }
 }
 
-/// A record as a line of CSV without its end, with some cells replaced.
-fn with_changes(record: &Record, changes: &BTreeMap<usize, String>) -> Vec<u8> {
+/// Returns a record as a CSV line without its line terminator, with some cells replaced.
+fn line_with_changes(record: &Record, changes: &BTreeMap<usize, String>) -> Vec<u8> {
     let mut writer = csv::WriterBuilder::new().from_writer(Vec::new());
     for (index, cell) in record.cells.iter().enumerate() {
         let text = changes.get(&index).unwrap_or(cell);
-        writer.write_field(text).expect("memory can be written");
+        writer
+            .write_field(text)
+            .expect("writing a CSV field to memory does not fail");
     }
-    // The writer ends the line only with `write_record`.
-    writer.into_inner().expect("memory can be written")
+    // The CSV writer terminates the line only in `write_record`, which is not called here.
+    writer
+        .into_inner()
+        .expect("flushing a CSV writer to memory does not fail")
 }
--- a/crates/state/src/table/header.rs
+++ b/crates/state/src/table/header.rs
@@ -1,4 +1,4 @@
-//! The header of a table's file: where each column stands.
+//! The header record of a table file, which gives the position of each column.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use super::document::{Document, Record};
 use crate::finding::{Findings, quoted};
 
-/// Where each column stands in one file.
+/// Position of each column in one table file.
 #[derive(Debug, Default)]
 pub(super) struct Header {
     indexes: BTreeMap<Column, usize>,
@@ -14,7 +14,7 @@
 }
 
 impl Header {
-    /// The columns of a header record, as far as they are known.
+    /// Reads the positions of the known columns from a header record.
     pub(super) fn of(record: &Record) -> Self {
         let mut indexes = BTreeMap::new();
         for (index, name) in record.cells.iter().enumerate() {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Reads and checks a document's header.
+    /// Reads and validates a document's header.
     pub(super) fn check(document: &Document, findings: &mut Findings) -> Self {
         let Some(record) = document.records.get(1) else {
             if !document.records.is_empty() {
@@ -38,22 +38,27 @@
             return Header::default();
         };
         let header = Header::of(record);
-        header.check_names(document, record, findings);
-        header.check_missing(document, record, findings);
+        header.report_unknown_and_repeated(document, record, findings);
+        header.report_missing(document, record, findings);
         header
     }
 
-    /// Where a column stands, from 0.
+    /// Returns the cell index of a column, from 0; none if the header lacks the column.
     pub(super) fn index(&self, column: Column) -> Option<usize> {
         self.indexes.get(&column).copied()
     }
 
-    /// How many cells the header has.
+    /// Returns the number of cells in the header.
     pub(super) fn width(&self) -> usize {
         self.width
     }
 
-    fn check_names(&self, document: &Document, record: &Record, findings: &mut Findings) {
+    fn report_unknown_and_repeated(
+        &self,
+        document: &Document,
+        record: &Record,
+        findings: &mut Findings,
+    ) {
         for (index, name) in record.cells.iter().enumerate() {
             let message = match Column::from_name(name) {
                 Some(column) if self.index(column) != Some(index) => {
@@ -69,7 +74,7 @@
         }
     }
 
-    fn check_missing(&self, document: &Document, record: &Record, findings: &mut Findings) {
+    fn report_missing(&self, document: &Document, record: &Record, findings: &mut Findings) {
         for column in Column::ALL {
             if self.index(column).is_none() {
                 let place = document.place(record, self.width);
--- a/crates/state/src/table/mod.rs
+++ b/crates/state/src/table/mod.rs
@@ -31,20 +31,20 @@
 pub use document::{MAX_CELLS, MAX_FILE_BYTES, MAX_RECORDS};
 pub use edit::{CellEdit, EditedFile, edit};
 
-/// The first cell of every table file.
+/// Marker in the first cell of every table file, which identifies the format.
 pub const FILE_MARK: &str = "lifthollow-table";
 
-/// Bounds of the number of a version: what spreadsheets keep exactly.
+/// Bounds of the table number: integers of up to 15 digits, which spreadsheets keep exactly.
 pub const NUMBER_BOUNDS: RangeInclusive<u64> = 1..=999_999_999_999_999;
 
-/// Reads and checks a table's file in full. `file_name` is used in the places
-/// of findings only.
+/// Parses and validates a table file in full. `file_name` is only used in the
+/// locations of findings.
 pub fn parse(file_name: &str, bytes: &[u8]) -> Result<Table, Findings> {
-    read_checked(file_name, bytes).map(|(_, table)| table)
+    parse_document_and_table(file_name, bytes).map(|(_, table)| table)
 }
 
-/// A valid file as records and as a table.
-fn read_checked(file_name: &str, bytes: &[u8]) -> Result<(Document, Table), Findings> {
+/// Parses and validates a table file and returns both its records and its table.
+fn parse_document_and_table(file_name: &str, bytes: &[u8]) -> Result<(Document, Table), Findings> {
     let mut findings = Findings::default();
     let document = Document::read(file_name, bytes, &mut findings);
     if document.records.is_empty() && !findings.is_empty() {
@@ -58,9 +58,9 @@
     Err(findings)
 }
 
-/// Which edition of the table is meant.
+/// Version of the operators' table.
 ///
-/// Versions are totally ordered: by the number operators write, then by the
+/// Versions are totally ordered: by the number that operators write, then by the
 /// digest of the content, so that two tables published by mistake under one
 /// number have the same order on every node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -78,30 +78,30 @@
     }
 }
 
-/// What operators set for one service on one side.
+/// Operators' settings for one service on one side.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableRow {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// The data centre.
+    /// The data centre to which the settings apply.
     pub side: Side,
     /// Share of the service's calls that go to this side, relative to the other.
     pub weight: u32,
-    /// Ceiling of calls that run at once on each server.
+    /// Maximum number of concurrent calls on each server.
     pub max_in_flight: u32,
-    /// Ceiling of calls that wait at each server.
+    /// Maximum number of queued calls at each server.
     pub max_queue: u32,
-    /// Ceiling of connections to each server's back end.
+    /// Maximum number of connections to each server's back end.
     pub max_connections: u32,
-    /// Class of calls that state none.
+    /// Priority class of calls that do not state one.
     pub class: PriorityClass,
-    /// Whether a call without an idempotency key may be run again.
+    /// Whether a call without an idempotency key may run more than once.
     pub repeatable: bool,
-    /// Time that a call without a stated deadline may take.
+    /// Maximum duration of calls that do not state a deadline.
     pub deadline: Duration,
 }
 
-/// A complete, checked table.
+/// A complete, validated table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Table {
     version: TableVersion,
@@ -109,7 +109,7 @@
 }
 
 impl Table {
-    /// A table of `rows` under the number `number`; a later row for the same
+    /// Creates a table of `rows` with the number `number`; a later row for the same
     /// service and side replaces an earlier one.
     pub fn new(number: u64, rows: impl IntoIterator<Item = TableRow>) -> Self {
         let rows: BTreeMap<_, _> = rows
@@ -123,8 +123,9 @@
         }
     }
 
-    /// This table with some rows added or replaced and others removed, under
-    /// the number `number`. The cost of the digest grows with the changes only.
+    /// Returns a copy of this table with some rows added or replaced and others
+    /// removed, with the number `number`. The cost of computing the digest grows
+    /// with the number of changes only.
     pub fn with_changes(
         &self,
         number: u64,
@@ -148,30 +149,30 @@
         }
     }
 
-    /// The table's version.
+    /// Returns the table's number and digest.
     pub fn version(&self) -> TableVersion {
         self.version
     }
 
-    /// The row of a service on a side.
+    /// Returns the row of a service on a side.
     pub fn row(&self, service: &ServiceName, side: Side) -> Option<&TableRow> {
         self.rows.get(&(service.clone(), side))
     }
 
-    /// The first row found for a service, the old side's first.
+    /// Returns the row of a service on the old side, or else the one on the new side.
     pub fn any_row(&self, service: &ServiceName) -> Option<&TableRow> {
         Side::ALL
             .into_iter()
             .find_map(|side| self.row(service, side))
     }
 
-    /// All rows, ordered by service and side.
+    /// Iterates over all rows, ordered by service and side.
     pub fn rows(&self) -> impl Iterator<Item = &TableRow> {
         self.rows.values()
     }
 }
 
-/// The sum of the rows' digests, so that it can be kept up to date row by row.
+/// Computes the table's digest: the sum of the rows' digests, which can be updated row by row.
 fn digest_of(rows: &BTreeMap<(ServiceName, Side), TableRow>) -> u64 {
     rows.values()
         .fold(0, |digest, row| digest.wrapping_add(row_digest(row)))
--- a/crates/state/src/table/row.rs
+++ b/crates/state/src/table/row.rs
@@ -1,4 +1,4 @@
-//! One row of a table's file, as far as its cells are valid.
+//! Parsing of one row of a table file, of which some cells may be invalid.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::finding::{Findings, quoted};
 use crate::{PriorityClass, ServiceName, Side};
 
-/// The valid cells of one row, and the record they were read from.
+/// The valid cells of one row, and the record from which they were read.
 #[derive(Clone, Debug)]
 pub(super) struct PartialRow<'a> {
     pub(super) record: &'a Record,
@@ -24,7 +24,7 @@
 }
 
 impl PartialRow<'_> {
-    /// The row, if all its cells are valid.
+    /// Returns the row if all its cells are valid.
     pub(super) fn complete(self) -> Option<TableRow> {
         Some(TableRow {
             service: self.service?,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Reads the cells of rows; each fault is added to the findings.
+/// Parses the cells of rows and adds every error to the findings.
 pub(super) struct RowReader<'a, 'f> {
     pub(super) document: &'a Document,
     pub(super) header: &'f Header,
@@ -48,7 +48,7 @@
 }
 
 impl<'a> RowReader<'a, '_> {
-    /// Reads one row.
+    /// Parses one row and returns its valid cells.
     pub(super) fn read(&mut self, record: &'a Record) -> PartialRow<'a> {
         self.check_width(record);
         PartialRow {
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Reads one cell; a column that the header lacks was reported there.
+    /// Parses one cell. Returns none for a column that is missing from the header, which the
+    /// check of the header has reported.
     fn cell<T>(
         &mut self,
         record: &Record,
@@ -85,12 +86,12 @@
 
     fn check_width(&mut self, record: &Record) {
         let width = self.header.width();
-        check_beyond(self.document, record, width, self.findings);
+        report_cells_beyond(self.document, record, width, self.findings);
     }
 }
 
-/// Reports cells of a record beyond its last column.
-pub(super) fn check_beyond(
+/// Reports every non-empty cell of a record at index `width` or beyond.
+pub(super) fn report_cells_beyond(
     document: &Document,
     record: &Record,
     width: usize,
--- a/crates/state/src/table/write.rs
+++ b/crates/state/src/table/write.rs
@@ -1,10 +1,10 @@
-//! Writing a table as CSV.
+//! Serialization of a table as CSV.
 
 use super::{Column, FILE_MARK, Table};
 
 impl Table {
-    /// The table as a CSV file in the canonical form: columns in their usual
-    /// order, rows by service and side, lines ended by `\n`.
+    /// Returns the table as a CSV file in canonical form: columns in the order of
+    /// [`Column::ALL`], rows by service and side, lines terminated by `\n`.
     pub fn to_csv(&self) -> String {
         let number = self.version().number;
         let mut text = format!("{FILE_MARK},{number}\n");
--- a/crates/state/src/time.rs
+++ b/crates/state/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as a value, so that decision code never reads a clock.
+//! Timestamps that are passed as values, so that decision code never reads a clock.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
@@ -6,8 +6,8 @@
 /// A point on the local monotonic clock of one process, in microseconds since
 /// an arbitrary origin.
 ///
-/// Timestamps of two processes are never compared: what crosses the network is
-/// a remaining [`Duration`].
+/// Timestamps of two processes are never compared: a remaining [`Duration`] is
+/// sent over the network instead.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp {
     micros: u64,
--- a/crates/state/tests/table_changes.rs
+++ b/crates/state/tests/table_changes.rs
@@ -1,4 +1,4 @@
-//! A table changed row by row is the same as one built from all its rows.
+//! Incremental changes of a table give the same rows and digest as building it from all rows.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn changes_give_the_table_and_digest_of_all_rows() {
+fn with_changes_equals_a_table_built_from_all_rows() {
     let before = Table::new(1, (0..9).map(|service| row(service, 50)));
     let removed = [(ServiceName::new("service-3"), Side::Old)];
     let after = before.with_changes(2, [row(1, 70), row(10, 5)], removed);
@@ -29,14 +29,14 @@
 }
 
 #[test]
-fn one_cell_changes_the_digest() {
+fn changing_one_cell_changes_the_digest() {
     let before = Table::new(1, [row(0, 50), row(1, 50)]);
     let after = Table::new(1, [row(0, 50), row(1, 51)]);
     assert_ne!(before.version().digest, after.version().digest);
 }
 
 #[test]
-fn values_swapped_between_rows_change_the_digest() {
+fn swapping_values_between_rows_changes_the_digest() {
     let before = Table::new(1, [row(0, 50), row(1, 60)]);
     let after = Table::new(1, [row(0, 60), row(1, 50)]);
     assert_ne!(before.version().digest, after.version().digest);
--- a/crates/state/tests/table_edit.rs
+++ b/crates/state/tests/table_edit.rs
@@ -1,4 +1,4 @@
-//! Comparing tables and changing one cell of a table's file.
+//! Tests of editing cells of a table file and of comparing two tables.
 
 use lifthollow_state::table::{self, CellEdit, Column, TableDifference};
 use lifthollow_state::{ServiceName, Side};
@@ -10,7 +10,7 @@
     balance,old,100,\"10\",20,130,normal,yes,800\r\n\
     top-up,new,10,8,16,130,critical,no,2000";
 
-fn change(side: Side, column: Column, value: &str) -> CellEdit {
+fn cell_edit(side: Side, column: Column, value: &str) -> CellEdit {
     CellEdit {
         service: ServiceName::new("top-up"),
         side,
@@ -19,14 +19,14 @@
     }
 }
 
-fn fault_of(edit: &CellEdit) -> String {
+fn edit_error(edit: &CellEdit) -> String {
     let findings = table::edit("t.csv", TABLE.as_bytes(), std::slice::from_ref(edit));
     findings.expect_err("the edit is refused").to_string()
 }
 
 #[test]
 fn edit_changes_the_number_and_one_record_and_keeps_every_other_byte() {
-    let edit = change(Side::Old, Column::Weight, "80");
+    let edit = cell_edit(Side::Old, Column::Weight, "80");
     let edited = table::edit("t.csv", TABLE.as_bytes(), &[edit]).unwrap();
     let expected = TABLE
         .replace("table,41", "table,42")
@@ -36,11 +36,11 @@
 }
 
 #[test]
-fn several_cells_change_in_one_version() {
+fn several_edits_raise_the_table_number_once() {
     let edits = [
-        change(Side::New, Column::Class, "normal"),
-        change(Side::Old, Column::Class, "normal"),
-        change(Side::Old, Column::Weight, "80"),
+        cell_edit(Side::New, Column::Class, "normal"),
+        cell_edit(Side::Old, Column::Class, "normal"),
+        cell_edit(Side::Old, Column::Weight, "80"),
     ];
     let edited = table::edit("t.csv", TABLE.as_bytes(), &edits).unwrap();
     let before = table::parse("t.csv", TABLE.as_bytes()).unwrap();
@@ -50,11 +50,11 @@
 }
 
 #[test]
-fn faults_of_several_edits_are_reported_together() {
+fn errors_of_several_edits_are_reported_together() {
     let edits = [
-        change(Side::New, Column::Weight, "20"),
-        change(Side::New, Column::Weight, "30"),
-        change(Side::Old, Column::Side, "new"),
+        cell_edit(Side::New, Column::Weight, "20"),
+        cell_edit(Side::New, Column::Weight, "30"),
+        cell_edit(Side::Old, Column::Side, "new"),
     ];
     let findings = table::edit("t.csv", TABLE.as_bytes(), &edits).unwrap_err();
     let shown = findings.to_string();
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn edit_of_the_last_record_without_a_line_end_works() {
-    let edit = change(Side::New, Column::MaxQueue, "0");
+fn edit_of_the_last_record_keeps_its_missing_line_terminator() {
+    let edit = cell_edit(Side::New, Column::MaxQueue, "0");
     let edited = table::edit("t.csv", TABLE.as_bytes(), &[edit]).unwrap();
     assert!(
         edited
@@ -77,48 +77,48 @@
 }
 
 #[test]
-fn edit_is_refused_with_the_place_of_its_fault() {
+fn invalid_edit_is_rejected_with_the_location_of_its_error() {
     let cases = [
         (
-            change(Side::New, Column::Weight, "10001"),
+            cell_edit(Side::New, Column::Weight, "10001"),
             "t.csv:6:3: `weight`: `10001`",
         ),
         (
-            change(Side::New, Column::Weight, "1\n2"),
+            cell_edit(Side::New, Column::Weight, "1\n2"),
             "t.csv:6:3: `weight`: `1\\n2`",
         ),
         (
-            change(Side::New, Column::Weight, "10"),
+            cell_edit(Side::New, Column::Weight, "10"),
             "t.csv:6:3: `weight` is already",
         ),
         (
-            change(Side::New, Column::Side, "old"),
+            cell_edit(Side::New, Column::Side, "old"),
             "t.csv:6:2: `side` names the row",
         ),
         (
-            change(Side::New, Column::Class, "normal"),
+            cell_edit(Side::New, Column::Class, "normal"),
             "t.csv:6:7: `class` of `top-up`",
         ),
     ];
     for (edit, expected) in cases {
-        let shown = fault_of(&edit);
+        let shown = edit_error(&edit);
         assert!(shown.starts_with(expected), "{edit:?} gave {shown}");
     }
-    let mut unknown = change(Side::New, Column::Weight, "1");
+    let mut unknown = cell_edit(Side::New, Column::Weight, "1");
     unknown.service = ServiceName::new("balance");
-    assert_eq!(fault_of(&unknown), "t.csv: no row for `balance@new`");
+    assert_eq!(edit_error(&unknown), "t.csv: no row for `balance@new`");
 }
 
 #[test]
-fn edit_is_refused_when_the_numbers_are_used_up() {
+fn edit_is_rejected_at_the_largest_table_number() {
     let last = TABLE.replace("table,41", "table,999999999999999");
-    let edit = change(Side::Old, Column::Weight, "80");
+    let edit = cell_edit(Side::Old, Column::Weight, "80");
     let findings = table::edit("t.csv", last.as_bytes(), &[edit]).unwrap_err();
     assert!(findings.to_string().contains("is the largest there is"));
 }
 
 #[test]
-fn difference_lists_rows_and_cells() {
+fn difference_lists_added_and_removed_rows_and_changed_cells() {
     let before = table::parse("a.csv", TABLE.as_bytes()).unwrap();
     let text = TABLE
         .replace("table,41", "table,42")
--- a/crates/state/tests/table_parse.rs
+++ b/crates/state/tests/table_parse.rs
@@ -1,4 +1,4 @@
-//! Reading and checking the table's file.
+//! Tests of parsing and validating a table file.
 
 use lifthollow_state::finding::{Findings, Place};
 use lifthollow_state::table::{self, MAX_FILE_BYTES, MAX_RECORDS, Table};
@@ -30,7 +30,7 @@
     "feeds,old,90,16,32,110,normal,yes,800\nfeeds,new,10,16,32,110,normal,yes,800\n";
 
 #[test]
-fn reads_a_valid_table() {
+fn parses_a_valid_table() {
     let table = table_of(file_with(FEEDS));
     assert_eq!(table.version().number, 7);
     let row = table.row(&ServiceName::new("feeds"), Side::New).unwrap();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn reads_what_spreadsheets_write() {
+fn parses_line_ends_quotes_and_padding_of_spreadsheets() {
     let plain = table_of(file_with(FEEDS));
     let windows = format!("\u{feff}{}", file_with(FEEDS).replace('\n', "\r\n"));
     assert_eq!(table_of(windows), plain);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn columns_may_stand_in_any_order() {
+fn parses_columns_in_any_order() {
     let text = "lifthollow-table,7\n\
                 deadline_ms,repeatable,class,max_connections,max_queue,max_in_flight,weight,side,service\n\
                 800,yes,normal,110,32,16,90,old,feeds\n800,yes,normal,110,32,16,10,new,feeds\n";
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn reports_every_bad_cell_together_with_its_place() {
+fn reports_every_invalid_cell_with_its_location() {
     let rows = "Feeds,old,90,16,32,110,normal,yes,800\n\
                 audio,west,10001,0,65536,0,urgent,maybe,0\n\
                 ads,old,-1,+5,1.5,\"1,000\",,1,3600001\n";
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn rows_are_counted_past_blank_lines_and_quoted_line_ends() {
+fn row_numbers_count_blank_lines_and_quoted_line_ends() {
     for line_end in ["\n", "\r\n", "\r"] {
         let text = format!(
             "\n{}\n\"bad\nname\",old,1,1,1,1,normal,yes,1\n\nx,up,1,1,1,1,normal,yes,1\n",
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn reports_a_bad_first_record() {
+fn reports_an_invalid_first_record() {
     let cases = [
         ("", "t.csv: the file is empty"),
         ("table,7\n", "t.csv:1:1: the first row must be"),
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn reports_what_rows_must_keep_together() {
+fn reports_conflicts_between_rows_of_a_service() {
     let rows = "feeds,old,0,16,32,110,normal,yes,800\n\
                 feeds,new,0,16,32,110,critical,no,900\n\
                 feeds,new,1,16,32,110,normal,yes,800\n\
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_bad_cell_does_not_hide_what_is_wrong_between_rows() {
+fn invalid_cell_does_not_hide_conflicts_between_rows() {
     let rows = "feeds,old,0,0,32,110,normal,yes,800\n\
                 feeds,new,0,16,-1,110,critical,yes,x\n\
                 feeds,new,1,y,32,110,normal,yes,800\n";
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn refuses_huge_files_records_and_cells() {
+fn rejects_oversized_files_records_and_cells() {
     let huge = vec![b'x'; MAX_FILE_BYTES + 1];
     let findings = findings_of(huge);
     assert!(matches!(
--- a/crates/state/tests/table_properties.rs
+++ b/crates/state/tests/table_properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the table's file that hold for any table and any input.
+//! Property tests of parsing, writing and editing table files with random tables and input.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,16 +22,16 @@
         .quickcheck(property);
 }
 
-/// A table that passes the check.
+/// A randomly generated table that passes validation.
 #[derive(Clone, Debug)]
 struct ValidTable(Table);
 
-fn within(generator: &mut Gen, bounds: std::ops::RangeInclusive<u32>) -> u32 {
+fn random_within(generator: &mut Gen, bounds: std::ops::RangeInclusive<u32>) -> u32 {
     let width = bounds.end() - bounds.start() + 1;
     bounds.start() + u32::arbitrary(generator) % width
 }
 
-fn any_name(generator: &mut Gen) -> ServiceName {
+fn random_name(generator: &mut Gen) -> ServiceName {
     let first = generator.choose(b"abz09").copied().unwrap();
     let length = usize::arbitrary(generator) % MAX_SERVICE_NAME_LENGTH;
     let rest = (0..length).map(|_| generator.choose(b"az09-_.").copied().unwrap());
@@ -39,26 +39,26 @@
     ServiceName::new(std::str::from_utf8(&bytes).unwrap())
 }
 
-fn any_row(generator: &mut Gen, service: &ServiceName, side: Side) -> TableRow {
+fn random_row(generator: &mut Gen, service: &ServiceName, side: Side) -> TableRow {
     TableRow {
         service: service.clone(),
         side,
-        weight: within(generator, WEIGHT_BOUNDS).max(1),
-        max_in_flight: within(generator, MAX_IN_FLIGHT_BOUNDS),
-        max_queue: within(generator, MAX_QUEUE_BOUNDS),
-        max_connections: within(generator, MAX_CONNECTIONS_BOUNDS),
+        weight: random_within(generator, WEIGHT_BOUNDS).max(1),
+        max_in_flight: random_within(generator, MAX_IN_FLIGHT_BOUNDS),
+        max_queue: random_within(generator, MAX_QUEUE_BOUNDS),
+        max_connections: random_within(generator, MAX_CONNECTIONS_BOUNDS),
         class: *generator.choose(&PriorityClass::ALL).unwrap(),
         repeatable: bool::arbitrary(generator),
-        deadline: Duration::from_millis(u64::from(within(generator, DEADLINE_MS_BOUNDS))),
+        deadline: Duration::from_millis(u64::from(random_within(generator, DEADLINE_MS_BOUNDS))),
     }
 }
 
-fn any_service(generator: &mut Gen) -> Vec<TableRow> {
-    let service = any_name(generator);
-    let old = any_row(generator, &service, Side::Old);
+fn random_service_rows(generator: &mut Gen) -> Vec<TableRow> {
+    let service = random_name(generator);
+    let old = random_row(generator, &service, Side::Old);
     let new = TableRow {
         side: Side::New,
-        weight: within(generator, WEIGHT_BOUNDS),
+        weight: random_within(generator, WEIGHT_BOUNDS),
         ..old.clone()
     };
     match u8::arbitrary(generator) % 4 {
@@ -71,7 +71,7 @@
     fn arbitrary(generator: &mut Gen) -> Self {
         let count = 1 + usize::arbitrary(generator) % SIZE;
         let services: BTreeMap<ServiceName, Vec<TableRow>> = (0..count)
-            .map(|_| any_service(generator))
+            .map(|_| random_service_rows(generator))
             .map(|rows| (rows[0].service.clone(), rows))
             .collect();
         let number = u64::arbitrary(generator) % (NUMBER_BOUNDS.end() - 1) + 1;
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn any_table_survives_writing_and_reading() {
+fn table_is_unchanged_by_writing_and_parsing() {
     fn property(table: ValidTable) -> bool {
         let read = table::parse("t.csv", table.0.to_csv().as_bytes());
         read == Ok(table.0)
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn an_edit_shows_as_exactly_one_changed_cell() {
+fn edit_changes_exactly_one_cell() {
     fn property(table: ValidTable, choice: usize) -> bool {
         let rows: Vec<&TableRow> = table.0.rows().collect();
         let row = rows[choice % rows.len()];
@@ -123,11 +123,11 @@
 }
 
 #[test]
-fn truncated_input_is_read_or_refused_without_a_panic() {
+fn truncated_input_is_parsed_or_rejected_without_a_panic() {
     fn property(table: ValidTable, cut: usize) -> bool {
         let mut bytes = table.0.to_csv().into_bytes();
         bytes.truncate(cut % (bytes.len() + 1));
-        // A cut inside the last deadline leaves a shorter, valid number.
+        // Truncation inside the last deadline may leave a shorter, valid number.
         match table::parse("t.csv", &bytes) {
             Ok(read) => read.rows().count() <= table.0.rows().count(),
             Err(findings) => !findings.is_empty(),
@@ -137,14 +137,14 @@
 }
 
 #[test]
-fn damaged_input_is_read_or_refused_without_a_panic() {
+fn damaged_input_is_parsed_or_rejected_without_a_panic() {
     fn property(table: ValidTable, flips: Vec<(usize, u8)>) -> bool {
         let mut bytes = table.0.to_csv().into_bytes();
         for (position, bit) in flips {
             let position = position % bytes.len();
             bytes[position] ^= 1 << (bit % 8);
         }
-        // What is still accepted is a table that can be written and read again.
+        // Damaged input that is still accepted must give a table that survives writing and parsing.
         match table::parse("t.csv", &bytes) {
             Ok(read) => table::parse("t.csv", read.to_csv().as_bytes()) == Ok(read),
             Err(findings) => !findings.is_empty(),
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn arbitrary_bytes_are_refused_without_a_panic() {
+fn arbitrary_bytes_are_rejected_without_a_panic() {
     fn property(bytes: Vec<u8>) -> bool {
         let edit = CellEdit {
             service: ServiceName::new("feeds"),
