--- a/crates/protocol/src/answer.rs
+++ b/crates/protocol/src/answer.rs
@@ -6,53 +6,53 @@
 use minicbor::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// Why a call was refused or given up.
+/// Why a call was refused or abandoned.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize,
 )]
 #[cbor(index_only)]
 #[serde(into = "&'static str", try_from = "String")]
 pub enum RefusalReason {
-    /// The server has as much work as it can finish in time.
+    /// The server already has as many calls as it can finish in time.
     #[n(0)]
     Overloaded,
     /// The server's queue is full.
     #[n(1)]
     QueueFull,
-    /// The deadline passed, or the work could not finish before it.
+    /// The deadline passed, or the call could not finish before it.
     #[n(2)]
     DeadlineTooShort,
-    /// No server of the service may take work.
+    /// No server of the service may be sent calls.
     #[n(3)]
     NoServer,
-    /// A service that this call needs further down refuses such calls.
+    /// A downstream service that the call depends on refuses calls of this priority.
     #[n(4)]
     DownstreamOverloaded,
-    /// The server is leaving.
+    /// The server is shutting down.
     #[n(5)]
     Leaving,
     /// The table has no row for the service.
     #[n(6)]
     UnknownService,
-    /// The node was paused and the decision had grown old.
+    /// The node's process was paused, so the decision to run the call was outdated.
     #[n(7)]
     Paused,
     /// The connection to the server failed.
     #[n(8)]
     ConnectionFailed,
-    /// The back end itself refused the call before running it.
+    /// The back end refused the call without running it.
     #[n(9)]
     BackendRefused,
     /// The answer was lost after the call may have started.
     #[n(10)]
     AnswerLost,
-    /// The caller went away.
+    /// The caller disconnected.
     #[n(11)]
     Cancelled,
-    /// A call with the same idempotency key is being run.
+    /// A call with the same idempotency key is running.
     #[n(12)]
     AlreadyRunning,
-    /// The idempotency key was used before with another body.
+    /// The idempotency key was used before with a different request body.
     #[n(13)]
     KeyReused,
     /// Too few replicas could be reached to claim the idempotency key.
@@ -61,7 +61,7 @@
 }
 
 impl RefusalReason {
-    /// All reasons.
+    /// All reasons, in the order of their CBOR indexes.
     pub const ALL: [RefusalReason; 15] = [
         RefusalReason::Overloaded,
         RefusalReason::QueueFull,
@@ -80,7 +80,7 @@
         RefusalReason::NoQuorum,
     ];
 
-    /// The stable word written in headers, logs and metrics.
+    /// Returns the reason's stable name in headers, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             RefusalReason::Overloaded => "overloaded",
@@ -119,9 +119,9 @@
     }
 }
 
-/// The word names no reason that this version knows.
+/// The text is not the name of a refusal reason that this version knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("unknown reason of a refusal")]
+#[error("unknown reason for a refusal")]
 pub struct UnknownReason;
 
 impl fmt::Display for RefusalReason {
@@ -130,7 +130,7 @@
     }
 }
 
-/// How an attempt ended, as far as the one who reports it knows.
+/// How an attempt ended, as far as the reporting node knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum AttemptResult {
     /// The back end ran the call and answered.
@@ -146,14 +146,14 @@
         /// Why it was refused.
         #[n(0)]
         reason: RefusalReason,
-        /// When the caller may come back.
+        /// Time after which the caller may retry.
         #[n(1)]
         retry_after: Duration,
     },
     /// The call may have run.
     #[n(2)]
     Unknown {
-        /// What went wrong.
+        /// Why the outcome of the call is unknown.
         #[n(0)]
         reason: RefusalReason,
     },
--- a/crates/protocol/src/claim.rs
+++ b/crates/protocol/src/claim.rs
@@ -1,5 +1,5 @@
-//! Messages by which a node claims an idempotency key at its replicas before it
-//! runs a call, and records how the run ended.
+//! Messages by which a node claims an idempotency key at the key's replicas before
+//! it runs a call, and records how the run ended.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 
 use crate::roster::{Roster, RosterVersion};
 
-/// One attempt of one process to become the holder of a key. Never used twice.
+/// Identifies one attempt of one process to become the holder of a key. An id is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct ClaimId {
     /// The node that wants to run the call.
     #[cbor(n(0), with = "crate::control::codec::node_id")]
     pub node: NodeId,
-    /// The life of that node.
+    /// Incarnation of the node that wants to run the call.
     #[cbor(n(1), with = "crate::control::codec::incarnation")]
     pub incarnation: Incarnation,
-    /// Counts the claims of that process.
+    /// Sequence number of the claim within the process.
     #[n(2)]
     pub sequence: u64,
 }
@@ -25,34 +25,34 @@
 /// A header of a recorded answer.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RecordedHeader {
-    /// Its name, in lower case.
+    /// Name of the header in lower case.
     #[n(0)]
     pub name: String,
-    /// Its value.
+    /// Value of the header, unchanged.
     #[cbor(n(1), with = "minicbor::bytes")]
     pub value: Vec<u8>,
 }
 
-/// A back end's answer, kept so that a repeat of the call can be given it.
+/// A back end's answer, recorded so that a repeat of the call receives the same answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct RecordedAnswer {
-    /// HTTP status.
+    /// HTTP status of the answer.
     #[n(0)]
     pub status: u16,
     /// Headers that describe the body.
     #[n(1)]
     pub headers: Vec<RecordedHeader>,
-    /// The complete body.
+    /// The complete body of the answer.
     #[cbor(n(2), with = "minicbor::bytes")]
     pub body: Vec<u8>,
 }
 
 impl RecordedAnswer {
-    /// Largest size of headers and body together that is recorded, in bytes, so
-    /// that a message fits into one datagram.
+    /// Maximum size of headers and body together that is recorded, in bytes, so that
+    /// a message fits into one datagram.
     pub const MAX_BYTES: usize = 1_000;
 
-    /// Bytes of headers and body.
+    /// Returns the size of headers and body together, in bytes.
     pub fn size(&self) -> usize {
         let headers: usize = self
             .headers
@@ -66,10 +66,11 @@
 /// How the run under a claim ended.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum RecordedOutcome {
-    /// The back end answered.
+    /// The back end answered, and the answer is recorded.
     #[n(0)]
     Completed(#[n(0)] RecordedAnswer),
-    /// The back end answered with more than [`RecordedAnswer::MAX_BYTES`].
+    /// The back end answered with more than [`RecordedAnswer::MAX_BYTES`], so the answer is not
+    /// recorded.
     #[n(1)]
     AnswerTooLarge,
     /// The answer was lost after the run may have started.
@@ -78,7 +79,7 @@
 }
 
 impl RecordedOutcome {
-    /// Bytes of the recorded answer.
+    /// Returns the size of the recorded answer in bytes; 0 if no answer is recorded.
     pub fn size(&self) -> usize {
         match self {
             RecordedOutcome::Completed(answer) => answer.size(),
@@ -90,10 +91,10 @@
 /// Asks a replica to grant a key to a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ClaimRequest {
-    /// The key.
+    /// The idempotency key to be claimed.
     #[cbor(n(0), with = "crate::control::codec::idempotency_key")]
     pub key: IdempotencyKey,
-    /// Who wants it.
+    /// The claim that requests the key.
     #[n(1)]
     pub claim: ClaimId,
     /// Digest of method, path and body of the call.
@@ -107,21 +108,21 @@
 /// A replica's answer to a [`ClaimRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ClaimVote {
-    /// The key.
+    /// The requested idempotency key.
     #[cbor(n(0), with = "crate::control::codec::idempotency_key")]
     pub key: IdempotencyKey,
-    /// The claim that asked.
+    /// The claim that requested the key.
     #[n(1)]
     pub claim: ClaimId,
-    /// The replica's roster.
+    /// Version of the replica's roster.
     #[n(2)]
     pub roster: RosterVersion,
-    /// The answer.
+    /// The replica's decision on the claim.
     #[n(3)]
     pub verdict: Verdict,
 }
 
-/// What a replica says to a claim.
+/// A replica's decision on a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Verdict {
     /// The claim holds the key at this replica.
@@ -130,38 +131,38 @@
     /// Another claim holds the key at this replica.
     #[n(1)]
     Held {
-        /// The holder.
+        /// The claim that holds the key.
         #[n(0)]
         by: ClaimId,
     },
-    /// A run of the key has ended.
+    /// A run under the key has ended with this outcome.
     #[n(2)]
     Finished(#[n(0)] RecordedOutcome),
-    /// The key is known with another body.
+    /// The key is already recorded with a different request body.
     #[n(3)]
     KeyReused,
-    /// The replica may have forgotten claims and must not vote yet.
+    /// The replica may have lost records of claims and must not vote yet.
     #[n(4)]
     Abstained {
-        /// When it will vote again.
+        /// Time until the replica will vote again.
         #[cbor(n(0), with = "crate::control::codec::milliseconds")]
         votes_in: Duration,
     },
-    /// The replica has another roster.
+    /// The replica's roster differs from that of the request.
     #[n(5)]
     OtherRoster,
-    /// The replica has no room for another record.
+    /// The replica has no capacity for another record.
     #[n(6)]
     Full,
 }
 
-/// Gives a key back: the run under the claim has not started and never will.
+/// Releases a key: the run under the claim has not started and never will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ClaimRelease {
-    /// The key.
+    /// The idempotency key to be released.
     #[cbor(n(0), with = "crate::control::codec::idempotency_key")]
     pub key: IdempotencyKey,
-    /// The claim given up.
+    /// The claim that gives up the key.
     #[n(1)]
     pub claim: ClaimId,
 }
@@ -169,16 +170,16 @@
 /// Records how the run under a claim ended.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ClaimFinish {
-    /// The key.
+    /// The idempotency key under which the call ran.
     #[cbor(n(0), with = "crate::control::codec::idempotency_key")]
     pub key: IdempotencyKey,
-    /// The claim under which it ran.
+    /// The claim under which the call ran.
     #[n(1)]
     pub claim: ClaimId,
     /// Digest of method, path and body of the call.
     #[n(2)]
     pub body_digest: u64,
-    /// How it ended.
+    /// How the run ended.
     #[n(3)]
     pub outcome: RecordedOutcome,
 }
@@ -191,101 +192,102 @@
     pub claim: ClaimId,
 }
 
-/// Asks a member of the roster for the claims that the asking replica may have
-/// forgotten when its process was replaced.
+/// Asks a member of the roster for the claims that the requesting replica may have
+/// lost when its process was replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RejoinRequest {
-    /// The life of the asking process.
+    /// Incarnation of the requesting process.
     #[cbor(n(0), with = "crate::control::codec::incarnation")]
     pub incarnation: Incarnation,
-    /// The asking replica's roster.
+    /// Version of the requesting replica's roster.
     #[n(1)]
     pub roster: RosterVersion,
-    /// Only keys from here on are wanted.
+    /// Smallest key to be returned; smaller keys are skipped.
     #[cbor(n(2), with = "crate::control::codec::idempotency_key")]
     pub from_key: IdempotencyKey,
-    /// Whether every claim that counted a vote of an earlier process has its
-    /// majority or no chance of one. Before that only records that were handed
-    /// over are wanted.
+    /// Whether every claim that counted a vote of an earlier process has either
+    /// reached a majority or can't reach one any more. Until then only records that
+    /// were handed over are requested.
     #[n(3)]
     pub settled: bool,
 }
 
-/// A claim that a replica tells a rejoining one about.
+/// A claim that one replica transfers to another.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct KnownClaim {
-    /// The key.
+    /// The claimed idempotency key.
     #[cbor(n(0), with = "crate::control::codec::idempotency_key")]
     pub key: IdempotencyKey,
-    /// The holder.
+    /// The claim that holds the key.
     #[n(1)]
     pub claim: ClaimId,
     /// Digest of method, path and body of the call.
     #[n(2)]
     pub body_digest: u64,
-    /// How the run ended, if it is known to have.
+    /// How the run ended; none if it is not known to have ended.
     #[n(3)]
     pub outcome: Option<RecordedOutcome>,
 }
 
-/// A part of the claims asked for with a [`RejoinRequest`], in order of keys.
+/// One page of the claims requested with a [`RejoinRequest`], in order of keys.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RejoinPage {
-    /// The life of the process that asked.
+    /// Incarnation of the process that sent the request.
     #[cbor(n(0), with = "crate::control::codec::incarnation")]
     pub incarnation: Incarnation,
-    /// The answering replica's roster.
+    /// Version of the answering replica's roster.
     #[n(1)]
     pub roster: RosterVersion,
-    /// The `from_key` asked for.
+    /// The request's `from_key`.
     #[cbor(n(2), with = "crate::control::codec::idempotency_key")]
     pub from_key: IdempotencyKey,
-    /// Claims on keys that both replicas store.
+    /// Claims on the keys of which both replicas store records.
     #[n(3)]
     pub claims: Vec<KnownClaim>,
-    /// Where the next page begins; none if this one is the last.
+    /// Key at which the next page begins; none if this page is the last.
     #[n(4)]
     pub next: Option<NextPage>,
     /// The request's `settled`.
     #[n(5)]
     pub settled: bool,
-    /// The claims are all of those that the stopped process handed over.
+    /// Whether the claims are all of those that the stopped process handed over.
     #[n(6)]
     pub handed_over: bool,
 }
 
-/// A replica that stops wants to hand its records over.
+/// A stopping replica asks to hand its records over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct HandoverBegin {
-    /// The life of the stopping process.
+    /// Incarnation of the stopping process.
     #[cbor(n(0), with = "crate::control::codec::incarnation")]
     pub incarnation: Incarnation,
-    /// Its roster; only a process with the same may take the records over.
+    /// Version of the stopping replica's roster; only a process with the same roster may take the
+    /// records over.
     #[n(1)]
     pub roster: RosterVersion,
 }
 
-/// The receiver of a [`HandoverBegin`] keeps what comes.
+/// The receiver of a [`HandoverBegin`] is ready to store the records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct HandoverReady {
-    /// The life of the stopping process.
+    /// Incarnation of the stopping process.
     #[cbor(n(0), with = "crate::control::codec::incarnation")]
     pub incarnation: Incarnation,
 }
 
-/// A part of the records of a stopping replica.
+/// One page of the records of a stopping replica.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct HandoverPage {
-    /// The life of the stopping process.
+    /// Incarnation of the stopping process.
     #[cbor(n(0), with = "crate::control::codec::incarnation")]
     pub incarnation: Incarnation,
-    /// Where the page begins.
+    /// Key at which the page begins.
     #[cbor(n(1), with = "crate::control::codec::idempotency_key")]
     pub from_key: IdempotencyKey,
     /// The records, in order of keys.
     #[n(2)]
     pub claims: Vec<KnownClaim>,
-    /// Where the next page begins; none if this one is the last.
+    /// Key at which the next page begins; none if this page is the last.
     #[n(3)]
     pub next: Option<NextPage>,
 }
@@ -293,61 +295,61 @@
 /// Confirms a [`HandoverPage`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct HandoverStored {
-    /// The life of the stopping process.
+    /// Incarnation of the stopping process.
     #[cbor(n(0), with = "crate::control::codec::incarnation")]
     pub incarnation: Incarnation,
-    /// Where the page begins.
+    /// Key at which the confirmed page begins.
     #[cbor(n(1), with = "crate::control::codec::idempotency_key")]
     pub from_key: IdempotencyKey,
-    /// Where the next page begins.
+    /// Key at which the next page begins; none if the confirmed page is the last.
     #[n(2)]
     pub next: Option<NextPage>,
 }
 
-/// Where the next [`RejoinPage`] begins.
+/// Key at which the next [`RejoinPage`] or [`HandoverPage`] begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(transparent)]
 pub struct NextPage(
     #[cbor(n(0), with = "crate::control::codec::idempotency_key")] pub IdempotencyKey,
 );
 
-/// Everything nodes say to each other about claims.
+/// All messages about claims that nodes exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ClaimMessage {
-    /// To a replica.
+    /// Sent to a replica to claim a key.
     #[n(0)]
     Request(#[n(0)] ClaimRequest),
-    /// From a replica.
+    /// Sent by a replica to answer a claim.
     #[n(1)]
     Vote(#[n(0)] ClaimVote),
-    /// To a replica.
+    /// Sent to a replica to release a key.
     #[n(2)]
     Release(#[n(0)] ClaimRelease),
-    /// To a replica.
+    /// Sent to a replica to record the outcome of a run.
     #[n(3)]
     Finish(#[n(0)] ClaimFinish),
-    /// From a replica.
+    /// Sent by a replica to confirm a release or an outcome.
     #[n(4)]
     Stored(#[n(0)] ClaimStored),
-    /// To a node whose roster is older.
+    /// Sent to a node whose roster is older.
     #[n(5)]
     Roster(#[n(0)] Roster),
-    /// From a replaced replica.
+    /// Sent by a restarted replica to recover its records.
     #[n(6)]
     RejoinRequest(#[n(0)] RejoinRequest),
-    /// To a replaced replica.
+    /// Sent to a restarted replica with a page of records.
     #[n(7)]
     RejoinPage(#[n(0)] RejoinPage),
-    /// From a stopping replica.
+    /// Sent by a stopping replica to offer its records.
     #[n(8)]
     HandoverBegin(#[n(0)] HandoverBegin),
-    /// To a stopping replica.
+    /// Sent to a stopping replica to accept its records.
     #[n(9)]
     HandoverReady(#[n(0)] HandoverReady),
-    /// From a stopping replica.
+    /// Sent by a stopping replica with a page of records.
     #[n(10)]
     HandoverPage(#[n(0)] HandoverPage),
-    /// To a stopping replica.
+    /// Sent to a stopping replica to confirm a page.
     #[n(11)]
     HandoverStored(#[n(0)] HandoverStored),
 }
--- a/crates/protocol/src/control/codec.rs
+++ b/crates/protocol/src/control/codec.rs
@@ -1,8 +1,9 @@
-//! CBOR forms of values of the `state` crate, which knows no codec.
+//! CBOR encoding of types of the `state` crate that don't implement it themselves.
 
 /// Defines a module with the `encode` and `decode` functions that
-/// `#[cbor(with = "...")]` asks for, by way of a plain wire value.
-macro_rules! wire_form {
+/// `#[cbor(with = "...")]` requires. Values are converted to and from the type `$wire`,
+/// which implements the CBOR encoding.
+macro_rules! define_cbor_module {
     ($name:ident, $value:ty, $wire:ty, $to:expr, $from:expr) => {
         pub mod $name {
             use super::*;
@@ -38,31 +39,31 @@
     IdempotencyKey, Incarnation, NodeId, PriorityClass, ServiceName, Side, TableVersion, Zone,
 };
 
-/// Longest name of a service that is taken from the network.
+/// Maximum length of a service name that is accepted from the network.
 const MAX_SERVICE_NAME_BYTES: usize = 128;
 
 fn service_name(text: String) -> Option<ServiceName> {
     (text.len() <= MAX_SERVICE_NAME_BYTES).then(|| ServiceName::new(&text))
 }
 
-wire_form!(node_id, NodeId, u64, |node| node.as_u64(), |packed| Some(
+define_cbor_module!(node_id, NodeId, u64, |node| node.as_u64(), |packed| Some(
     NodeId::from_u64(packed)
 ));
-wire_form!(
+define_cbor_module!(
     incarnation,
     Incarnation,
     u64,
     |incarnation| incarnation.0,
     |number| Some(Incarnation(number))
 );
-wire_form!(
+define_cbor_module!(
     service,
     ServiceName,
     String,
     |service| service.as_str().to_owned(),
     service_name
 );
-wire_form!(
+define_cbor_module!(
     services,
     Vec<ServiceName>,
     Vec<String>,
@@ -72,35 +73,35 @@
         .collect(),
     |names| names.into_iter().map(service_name).collect()
 );
-wire_form!(side, Side, u8, |side| *side as u8, |index| Side::ALL
+define_cbor_module!(side, Side, u8, |side| *side as u8, |index| Side::ALL
     .get(usize::from(index))
     .copied());
-wire_form!(zone, Zone, u16, |zone| zone.0, |number| Some(Zone(number)));
-wire_form!(class, PriorityClass, u8, |class| *class as u8, |index| {
+define_cbor_module!(zone, Zone, u16, |zone| zone.0, |number| Some(Zone(number)));
+define_cbor_module!(class, PriorityClass, u8, |class| *class as u8, |index| {
     PriorityClass::ALL.get(usize::from(index)).copied()
 });
-wire_form!(
+define_cbor_module!(
     version,
     TableVersion,
     (u64, u64),
     |version| (version.number, version.digest),
     |(number, digest)| Some(TableVersion { number, digest })
 );
-wire_form!(
+define_cbor_module!(
     optional_version,
     Option<TableVersion>,
     Option<(u64, u64)>,
     |version| version.map(|version| (version.number, version.digest)),
     |wire| Some(wire.map(|(number, digest)| TableVersion { number, digest }))
 );
-wire_form!(
+define_cbor_module!(
     milliseconds,
     Duration,
     u64,
     |duration| duration.as_millis() as u64,
     |milliseconds| Some(Duration::from_millis(milliseconds))
 );
-wire_form!(
+define_cbor_module!(
     idempotency_key,
     IdempotencyKey,
     ByteArray<16>,
--- a/crates/protocol/src/control/fleet.rs
+++ b/crates/protocol/src/control/fleet.rs
@@ -1,4 +1,4 @@
-//! Messages of membership and of the table.
+//! Messages for membership and for distributing the table.
 
 use minicbor::bytes::ByteVec;
 use minicbor::{Decode, Encode};
@@ -7,18 +7,19 @@
 
 use super::{MemberRecord, TablePage, TableRequest, codec};
 
-/// Ties the answer to a probe.
+/// Sequence number that matches an acknowledgement to its probe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct ProbeSequence(#[n(0)] pub u32);
 
-/// What the sender has, in every message, so that each contact shows who is behind.
+/// Summary of the sender's state, included in every message so that the receiver learns whether
+/// either node is out of date.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct FleetHeader {
-    /// The sender's life.
+    /// Incarnation of the sender.
     #[cbor(n(0), with = "codec::incarnation")]
     pub incarnation: Incarnation,
-    /// The version in force at the sender.
+    /// Version of the table in force at the sender.
     #[cbor(n(1), with = "codec::version")]
     pub table: TableVersion,
     /// Digest of all members that the sender knows.
@@ -26,90 +27,90 @@
     pub members: u64,
 }
 
-/// Digests of the members in each bucket, three bytes each.
+/// Digests of the members in each bucket, three bytes per bucket.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(transparent)]
 pub struct BucketDigests(#[n(0)] pub ByteVec);
 
-/// One message of membership or of the table.
+/// One message about membership or the table.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct FleetMessage {
-    /// What the sender has.
+    /// Summary of the sender's state.
     #[n(0)]
     pub header: FleetHeader,
-    /// What it says.
+    /// Content of the message.
     #[n(1)]
     pub body: FleetBody,
 }
 
-/// What a message says.
+/// Content of a [`FleetMessage`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum FleetBody {
-    /// Asks for an [`FleetBody::Ack`].
+    /// Probes the receiver, which answers with a [`FleetBody::Ack`].
     #[n(0)]
     Ping {
-        /// Returned in the answer.
+        /// Sequence number that the acknowledgement repeats.
         #[n(0)]
         sequence: ProbeSequence,
-        /// News of members.
+        /// Records of members that have changed.
         #[n(1)]
         updates: Vec<MemberRecord>,
     },
-    /// Answers a ping.
+    /// Answers a [`FleetBody::Ping`].
     #[n(1)]
     Ack {
-        /// The sequence of the ping.
+        /// Sequence number of the ping.
         #[n(0)]
         sequence: ProbeSequence,
-        /// News of members.
+        /// Records of members that have changed.
         #[n(1)]
         updates: Vec<MemberRecord>,
     },
     /// Asks the receiver to probe another node on the sender's behalf.
     #[n(2)]
     IndirectPing {
-        /// Returned in the answer.
+        /// Sequence number that the acknowledgement repeats.
         #[n(0)]
         sequence: ProbeSequence,
         /// The node to be probed.
         #[cbor(n(1), with = "codec::node_id")]
         target: NodeId,
     },
-    /// The node probed on the receiver's behalf has answered.
+    /// Reports that the node probed on the receiver's behalf has answered.
     #[n(3)]
     IndirectAck {
-        /// The sequence of the indirect ping.
+        /// Sequence number of the indirect ping.
         #[n(0)]
         sequence: ProbeSequence,
     },
-    /// News of members that cannot wait for the next probe.
+    /// Sends changed member records that cannot wait for the next probe.
     #[n(4)]
     Updates {
-        /// The news.
+        /// Records of members that have changed.
         #[n(0)]
         updates: Vec<MemberRecord>,
     },
     /// Asks for the members of every bucket whose digest differs.
     #[n(5)]
     MemberDigests {
-        /// What the sender has.
+        /// Digests of the sender's member records.
         #[n(0)]
         digests: BucketDigests,
     },
-    /// Members of buckets that differ.
+    /// Answers [`FleetBody::MemberDigests`] with the members of buckets that differ.
     #[n(6)]
     MemberBuckets {
-        /// Buckets of which `members` holds all that the sender knows.
+        /// Indexes of the buckets of which `members` contains all members known to the sender.
         #[n(0)]
         complete: Vec<u16>,
-        /// The members.
+        /// Records of the members in the differing buckets.
         #[n(1)]
         members: Vec<MemberRecord>,
     },
-    /// Asks for rows of the table.
+    /// Requests rows of the table.
     #[n(7)]
     TableRequest(#[n(0)] TableRequest),
-    /// Rows of the table.
+    /// Sends rows of the table.
     #[n(8)]
     TablePage(#[n(0)] TablePage),
 }
--- a/crates/protocol/src/control/member.rs
+++ b/crates/protocol/src/control/member.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other about a member of the fleet.
+//! Membership records that nodes exchange.
 
 use minicbor::{Decode, Encode};
 
@@ -6,28 +6,28 @@
 
 use super::codec;
 
-/// How a member stands, least severe first. At equal incarnations the more
-/// severe status holds; only the member itself, by a larger incarnation,
-/// returns to a milder one.
+/// Status of a member, least severe first. At equal incarnations the more severe
+/// status takes precedence; only the member itself can return to a less severe
+/// status, by raising its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(index_only)]
 pub enum MemberStatus {
-    /// It answers probes.
+    /// The member answers probes.
     #[n(0)]
     Alive,
-    /// Several nodes got no answer from it.
+    /// Several nodes got no answer from the member.
     #[n(1)]
     Suspected,
-    /// It stops as planned and takes no new work.
+    /// The member is shutting down as planned and accepts no new calls.
     #[n(2)]
     Leaving,
-    /// It is gone and forgotten.
+    /// The member is gone and its record is no longer used.
     #[n(3)]
     Removed,
 }
 
 impl MemberStatus {
-    /// The word in logs and on the operators' port.
+    /// Returns the status name in logs and on the operators' port.
     pub fn as_str(self) -> &'static str {
         match self {
             MemberStatus::Alive => "alive",
@@ -38,31 +38,31 @@
     }
 }
 
-/// One member as the node that sends the record knows it.
+/// One member as known to the node that sends the record.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct MemberRecord {
-    /// The member.
+    /// Address of the member.
     #[cbor(n(0), with = "codec::node_id")]
     pub node: NodeId,
-    /// The life of the member that the record is about.
+    /// Incarnation of the member that the record describes.
     #[cbor(n(1), with = "codec::incarnation")]
     pub incarnation: Incarnation,
-    /// How it stands.
+    /// Status of the member.
     #[n(2)]
     pub status: MemberStatus,
-    /// Its data centre.
+    /// The member's data centre.
     #[cbor(n(3), with = "codec::side")]
     pub side: Side,
-    /// Its failure domain.
+    /// The member's failure domain.
     #[cbor(n(4), with = "codec::zone")]
     pub zone: Zone,
-    /// The services whose back ends stand beside it.
+    /// The services whose back ends run on the member's machine.
     #[cbor(n(5), with = "codec::services")]
     pub services: Vec<ServiceName>,
 }
 
 impl MemberRecord {
-    /// Whether this record replaces `other` of the same member.
+    /// Returns whether this record replaces `other`, a record of the same member.
     pub fn supersedes(&self, other: &MemberRecord) -> bool {
         (self.incarnation, self.status) > (other.incarnation, other.status)
     }
--- a/crates/protocol/src/control/mod.rs
+++ b/crates/protocol/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! Messages between the control threads of nodes: one message, one UDP datagram.
+//! Messages between the control threads of nodes, each sent as one UDP datagram.
 //!
 //! A datagram is the CBOR array `[version, message]`. A node drops datagrams of
 //! another version, so a change of the format needs a new version number.
@@ -19,34 +19,34 @@
 pub use member::{MemberRecord, MemberStatus};
 pub use table::{RowKey, TablePage, TableRequest};
 
-/// Largest datagram: below the smallest path size that is usual for UDP over
-/// IPv4, so that none is fragmented.
+/// Maximum size of a datagram, bytes: below the smallest path MTU that is usual for
+/// UDP over IPv4, so that no datagram is fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// Bytes of the IPv4 and UDP headers that every datagram has besides.
+/// Size of the IPv4 and UDP headers that every datagram has in addition, bytes.
 pub const DATAGRAM_HEADER_BYTES: usize = 28;
 
-/// Version of the format.
+/// Version of the datagram format.
 pub const CONTROL_VERSION: u8 = 1;
 
 const ENVELOPE_FIELDS: u64 = 2;
 
-/// Everything that control threads say to each other.
+/// All messages that control threads exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ControlMessage {
-    /// Membership and the table.
+    /// Message about membership or the table.
     #[n(0)]
     Fleet(#[n(0)] FleetMessage),
-    /// Claims on idempotency keys.
+    /// Message about claims on idempotency keys.
     #[n(1)]
     Claim(#[n(0)] ClaimMessage),
 }
 
 impl ControlMessage {
-    /// The datagram's bytes.
+    /// Encodes the message as a datagram.
     pub fn encode(&self) -> Result<Vec<u8>, ControlError> {
         let mut bytes = Vec::with_capacity(TYPICAL_DATAGRAM_BYTES);
-        self.write(&mut bytes)
+        self.encode_to(&mut bytes)
             .map_err(|error| ControlError::Malformed(error.to_string()))?;
         match bytes.len() {
             length if length > MAX_DATAGRAM_BYTES => Err(ControlError::TooLarge { length }),
@@ -54,14 +54,14 @@
         }
     }
 
-    fn write(&self, bytes: &mut Vec<u8>) -> Result<(), minicbor::encode::Error<Infallible>> {
+    fn encode_to(&self, bytes: &mut Vec<u8>) -> Result<(), minicbor::encode::Error<Infallible>> {
         let mut encoder = Encoder::new(bytes);
         encoder.array(ENVELOPE_FIELDS)?.u8(CONTROL_VERSION)?;
         encoder.encode(self)?;
         Ok(())
     }
 
-    /// The message in a datagram.
+    /// Decodes the message in a datagram.
     pub fn decode(datagram: &[u8]) -> Result<Self, ControlError> {
         let length = datagram.len();
         if length > MAX_DATAGRAM_BYTES {
@@ -98,30 +98,30 @@
 /// Why a datagram cannot be sent or was dropped.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ControlError {
-    /// It is larger than [`MAX_DATAGRAM_BYTES`].
+    /// The datagram is larger than [`MAX_DATAGRAM_BYTES`].
     #[error("control datagram of {length} bytes exceeds {MAX_DATAGRAM_BYTES}")]
     TooLarge {
-        /// Its length.
+        /// Length of the datagram, bytes.
         length: usize,
     },
-    /// It is of another version of the format.
+    /// The datagram has another version of the format.
     #[error("control datagram of version {version}, expected {CONTROL_VERSION}")]
     Version {
-        /// Its version.
+        /// Version stated in the datagram.
         version: u8,
     },
     /// Bytes follow the message.
     #[error("{excess} bytes after the end of the control message")]
     Trailing {
-        /// How many.
+        /// Number of bytes after the end of the message.
         excess: usize,
     },
-    /// It is no message of this format.
+    /// The datagram is not a valid message of this format.
     #[error("malformed control datagram: {0}")]
     Malformed(String),
 }
 
-/// Length of a value's encoding, for packing datagrams.
+/// Returns the size of a value's encoding in bytes, to fill datagrams up to their maximum.
 pub fn encoded_length<T: Encode<()>>(value: &T) -> usize {
     struct Counter(usize);
     impl Write for Counter {
@@ -132,7 +132,7 @@
         }
     }
     let mut counter = Counter(0);
-    // A counter cannot fail, and no type of this module refuses to be encoded.
+    // Writing to the counter cannot fail, and no type of this module fails to encode.
     let _ = minicbor::encode(value, &mut counter);
     counter.0
 }
--- a/crates/protocol/src/control/table.rs
+++ b/crates/protocol/src/control/table.rs
@@ -1,5 +1,5 @@
-//! How the table travels between nodes: the rows that changed since a version
-//! that the asking node has, or all rows, in pages of one datagram.
+//! Transfer of the table between nodes: the rows that changed since a version that
+//! the requesting node has, or all rows, in pages of one datagram each.
 
 use minicbor::{Decode, Encode};
 
@@ -8,19 +8,19 @@
 
 use super::codec;
 
-/// The key of a row; rows are ordered by it.
+/// Key of a table row; rows are ordered by key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct RowKey {
-    /// The service.
+    /// Name of the row's service.
     #[cbor(n(0), with = "codec::service")]
     pub service: ServiceName,
-    /// The data centre.
+    /// The row's data centre.
     #[cbor(n(1), with = "codec::side")]
     pub side: Side,
 }
 
 impl RowKey {
-    /// The key of `row`.
+    /// Returns the key of `row`.
     pub fn of(row: &TableRow) -> Self {
         RowKey {
             service: row.service.clone(),
@@ -29,36 +29,36 @@
     }
 }
 
-/// Asks for the rows that lead from one version to another.
+/// Requests the rows that differ between two versions of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct TableRequest {
-    /// The version in force on the asking node.
+    /// The version in force on the requesting node.
     #[cbor(n(0), with = "codec::version")]
     pub have: TableVersion,
-    /// The version wanted; a node that has a newer one in force sends that.
+    /// The requested version; a node with a newer version in force sends that one instead.
     #[cbor(n(1), with = "codec::version")]
     pub want: TableVersion,
-    /// Rows up to this key are at hand already.
+    /// Key up to which the requesting node already has the rows; none if it has none of them.
     #[n(2)]
     pub after: Option<RowKey>,
 }
 
-/// A run of rows on the way to a version.
+/// One page of consecutive changes that lead to a version of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct TablePage {
     /// The version that the rows are applied to; none if the pages hold all rows.
     #[cbor(n(0), with = "codec::optional_version")]
     pub base: Option<TableVersion>,
-    /// The version that results.
+    /// The version that results when all pages are applied.
     #[cbor(n(1), with = "codec::version")]
     pub target: TableVersion,
-    /// The page begins after this key.
+    /// Key after which the page begins; none for the first page.
     #[n(2)]
     pub after: Option<RowKey>,
     /// Rows added or changed, ordered by key.
     #[n(3)]
     rows: Vec<WireRow>,
-    /// Keys of rows removed, ordered.
+    /// Keys of removed rows, in order.
     #[n(4)]
     pub removed: Vec<RowKey>,
     /// Whether this is the last page.
@@ -67,7 +67,7 @@
 }
 
 impl TablePage {
-    /// A page without rows, which counts as the last one.
+    /// Creates a page without rows that is marked as the last one.
     pub fn empty(base: Option<TableVersion>, target: TableVersion, after: Option<RowKey>) -> Self {
         TablePage {
             base,
@@ -79,17 +79,17 @@
         }
     }
 
-    /// Adds a row at the page's end.
+    /// Appends an added or changed row to the page.
     pub fn push_row(&mut self, row: &TableRow) {
         self.rows.push(WireRow::of(row));
     }
 
-    /// The rows, ordered by key.
+    /// Iterates over the added and changed rows, ordered by key.
     pub fn rows(&self) -> impl Iterator<Item = TableRow> {
         self.rows.iter().map(WireRow::to_row)
     }
 
-    /// The last key that the page covers.
+    /// Returns the largest key that the page contains; none if it is empty.
     pub fn last_key(&self) -> Option<RowKey> {
         let row = self.rows.last().map(|row| row.key.clone());
         row.max(self.removed.last().cloned())
--- a/crates/protocol/src/frame/codec.rs
+++ b/crates/protocol/src/frame/codec.rs
@@ -1,4 +1,4 @@
-//! Lengths, encoding and decoding of frames.
+//! Encoding and decoding of length-prefixed frames.
 
 use std::convert::Infallible;
 
@@ -9,33 +9,33 @@
 use crate::frame::message::WireFrame;
 use crate::frame::{Frame, LENGTH_PREFIX_BYTES, MAX_FRAME_BYTES, StreamId};
 
-/// Why bytes of a connection are not a frame. The connection is of no more use.
+/// Why the bytes of a connection are not a valid frame. The connection can't be used any more.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The length prefix exceeds the maximum.
+    /// The frame's length exceeds [`MAX_FRAME_BYTES`].
     #[error("a frame of {length} bytes exceeds the maximum of {MAX_FRAME_BYTES}")]
     TooLong {
-        /// The length that the prefix states.
+        /// Length of the frame without its length prefix, bytes.
         length: usize,
     },
-    /// The frame is not the CBOR that was expected.
+    /// The payload is not the CBOR encoding of a frame.
     #[error("malformed frame: {0}")]
     Malformed(#[from] minicbor::decode::Error),
-    /// The frame is followed by bytes that its length prefix includes.
+    /// The length prefix includes bytes after the end of the encoded frame.
     #[error("{surplus} bytes after the end of a frame")]
     Surplus {
-        /// How many.
+        /// Number of bytes after the end of the encoded frame.
         surplus: usize,
     },
     /// The connection ended inside a frame.
     #[error("the connection ended inside a frame: {missing} bytes are missing")]
     Truncated {
-        /// How many at least.
+        /// Minimum number of bytes that are missing.
         missing: usize,
     },
 }
 
-/// Appends to a buffer; never fails.
+/// Writes CBOR by appending to a buffer, which never fails.
 struct BufferWriter<'buffer>(&'buffer mut BytesMut);
 
 impl Write for BufferWriter<'_> {
@@ -49,7 +49,7 @@
 
 /// Appends a frame with its length prefix to `buffer`.
 ///
-/// Fails if the frame would exceed [`MAX_FRAME_BYTES`]; `buffer` is as before then.
+/// Fails if the frame would exceed [`MAX_FRAME_BYTES`]; `buffer` is then unchanged.
 pub fn encode_frame(frame: Frame, buffer: &mut BytesMut) -> Result<(), FrameError> {
     let wire = match frame {
         Frame::Data(stream, bytes) => return encode_data(stream, &bytes, buffer),
@@ -63,7 +63,7 @@
         Frame::Pong(number) => WireFrame::Pong(number),
         Frame::GoAway => WireFrame::GoAway,
     };
-    let start = begin(buffer);
+    let start = reserve_length_prefix(buffer);
     let written = minicbor::encode(wire, BufferWriter(buffer));
     debug_assert!(written.is_ok(), "writing to memory does not fail");
     finish(buffer, start, 0)
@@ -75,15 +75,15 @@
     Ok(())
 }
 
-/// Appends everything of a [`Frame::Data`] but the `length` body bytes, which the
-/// caller sends right behind, so that they need not be copied.
+/// Appends a [`Frame::Data`] without its `length` body bytes. The caller sends the
+/// body bytes directly afterwards, so that they need not be copied.
 pub fn encode_data_head(
     stream: StreamId,
     length: usize,
     buffer: &mut BytesMut,
 ) -> Result<(), FrameError> {
     const DATA_INDEX: u8 = 2;
-    let start = begin(buffer);
+    let start = reserve_length_prefix(buffer);
     let mut encoder = Encoder::new(BufferWriter(buffer));
     let written = encoder
         .array(2)
@@ -95,14 +95,14 @@
     finish(buffer, start, length)
 }
 
-fn begin(buffer: &mut BytesMut) -> usize {
+fn reserve_length_prefix(buffer: &mut BytesMut) -> usize {
     let start = buffer.len();
     buffer.extend_from_slice(&[0; LENGTH_PREFIX_BYTES]);
     start
 }
 
-fn finish(buffer: &mut BytesMut, start: usize, behind: usize) -> Result<(), FrameError> {
-    let length = buffer.len() - start - LENGTH_PREFIX_BYTES + behind;
+fn finish(buffer: &mut BytesMut, start: usize, following_bytes: usize) -> Result<(), FrameError> {
+    let length = buffer.len() - start - LENGTH_PREFIX_BYTES + following_bytes;
     if length > MAX_FRAME_BYTES {
         buffer.truncate(start);
         return Err(FrameError::TooLong { length });
@@ -112,19 +112,19 @@
     Ok(())
 }
 
-/// Cuts frames out of the bytes of one connection.
+/// Decodes frames from the byte stream of one connection.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
     buffer: BytesMut,
 }
 
 impl FrameDecoder {
-    /// Where the connection's reader appends what it has read.
+    /// Returns the buffer to which the connection's reader appends received bytes.
     pub fn buffer(&mut self) -> &mut BytesMut {
         &mut self.buffer
     }
 
-    /// The next whole frame, or `None` if more bytes are needed.
+    /// Decodes the next complete frame; returns `None` if more bytes are needed.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         let Some(length) = self.frame_length()? else {
             return Ok(None);
@@ -137,8 +137,8 @@
         decode_payload(&payload).map(Some)
     }
 
-    /// To be asked when the connection has ended: an error if it ended inside a
-    /// frame.
+    /// Must be called when the connection has ended; returns an error if it ended
+    /// inside a frame.
     pub fn finish(&self) -> Result<(), FrameError> {
         if self.buffer.is_empty() {
             return Ok(());
@@ -163,7 +163,7 @@
     }
 }
 
-/// Body bytes share the payload's memory.
+/// Decodes a frame from its payload. The body bytes of the frame share the payload's memory.
 fn decode_payload(payload: &Bytes) -> Result<Frame, FrameError> {
     let mut decoder = minicbor::Decoder::new(payload);
     let wire: WireFrame<'_> = decoder.decode()?;
--- a/crates/protocol/src/frame/context.rs
+++ b/crates/protocol/src/frame/context.rs
@@ -1,4 +1,4 @@
-//! What a call carries across hops, in the form that crosses the network.
+//! Metadata that a call carries across hops, in its encoded form.
 
 use std::time::Duration;
 
@@ -8,31 +8,31 @@
     IdempotencyKey, Priority, PriorityClass, RequestContext, RequestId, RetryAllowance, Timestamp,
 };
 
-/// A [`RequestContext`] whose deadline is the time that remained when the frame
-/// was made.
+/// A [`RequestContext`] in which the deadline is replaced by the time that remained
+/// when the frame was created.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct WireContext {
-    /// The whole request.
+    /// Id of the end-to-end request.
     #[cbor(n(0), with = "minicbor::bytes")]
     pub request: [u8; 16],
-    /// Time until the caller stops waiting.
+    /// Remaining time until the caller stops waiting, microseconds.
     #[n(1)]
     pub remaining_micros: u64,
-    /// Importance to the business.
+    /// Priority class: the call's importance to the business.
     #[n(2)]
     pub class: WireClass,
-    /// Place inside the class.
+    /// User priority within the class, 0 to 127.
     #[n(3)]
     pub user_priority: u8,
-    /// Present on calls that must run at most once.
+    /// Idempotency key; present on calls that must run at most once.
     #[cbor(n(4), with = "minicbor::bytes")]
     pub idempotency_key: Option<[u8; 16]>,
-    /// Retries lent to the call and everything below it.
+    /// Retries that the call and its nested calls may make.
     #[n(5)]
     pub allowance: u8,
 }
 
-/// [`PriorityClass`] on the wire.
+/// Encoded form of [`PriorityClass`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum WireClass {
@@ -68,7 +68,7 @@
 }
 
 impl WireContext {
-    /// The form of `context` that leaves this node at `now`.
+    /// Converts `context` for sending at `now` on this node's clock.
     pub fn leaving_at(context: &RequestContext, now: Timestamp) -> Self {
         let remaining = context.deadline.saturating_since(now);
         WireContext {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The context on the clock of the node that received it at `now`.
+    /// Converts to a context with a deadline on the clock of the node that received it at `now`.
     pub fn arriving_at(&self, now: Timestamp) -> RequestContext {
         let key = self.idempotency_key.map(u128::from_be_bytes);
         RequestContext {
--- a/crates/protocol/src/frame/message.rs
+++ b/crates/protocol/src/frame/message.rs
@@ -1,4 +1,4 @@
-//! The frames.
+//! Types of the frames that nodes exchange.
 
 use bytes::Bytes;
 use minicbor::{Decode, Encode};
@@ -6,12 +6,13 @@
 use crate::frame::WireContext;
 use crate::{AttemptResult, LoadReport};
 
-/// One attempt on one connection, numbered by the node that opened it.
+/// Identifies one stream, which is one attempt, on a connection; numbered by the node that
+/// opened the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct StreamId(#[n(0)] pub u32);
 
-/// The first frame of each end.
+/// The first frame sent by each end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Hello {
     /// [`PROTOCOL_VERSION`](crate::frame::PROTOCOL_VERSION) of the sender.
@@ -22,90 +23,91 @@
     pub node: u64,
 }
 
-/// One HTTP header.
+/// One HTTP header of a request or an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Header {
-    /// Lower-case name.
+    /// Name of the header in lower case.
     #[n(0)]
     pub name: String,
-    /// Value as it was sent.
+    /// Value of the header, unchanged.
     #[cbor(n(1), with = "minicbor::bytes")]
     pub value: Vec<u8>,
 }
 
-/// Begins an attempt.
+/// Opens a stream for an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Open {
-    /// The service wanted.
+    /// Name of the called service.
     #[n(0)]
     pub service: String,
-    /// What the call carries across hops.
+    /// Metadata that the call carries across hops.
     #[n(1)]
     pub context: WireContext,
-    /// HTTP method.
+    /// HTTP method of the call.
     #[n(2)]
     pub method: String,
-    /// Path and query.
+    /// Path and query of the call's URL.
     #[n(3)]
     pub path: String,
-    /// End-to-end headers.
+    /// End-to-end HTTP headers of the call.
     #[n(4)]
     pub headers: Vec<Header>,
     /// Digest of method, path and body of a call with an idempotency key.
     #[n(5)]
     pub body_digest: u64,
-    /// No body follows.
+    /// Whether the call has no body, so that no data frames follow.
     #[n(6)]
     pub bodiless: bool,
 }
 
-/// Answers an attempt. For `Completed` the body follows.
+/// Head of the answer to an attempt. The body follows if the result is
+/// [`AttemptResult::Completed`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct AnswerHead {
     /// How the attempt ended.
     #[n(0)]
     pub result: AttemptResult,
-    /// HTTP status of a completed attempt.
+    /// HTTP status of the answer to a completed attempt.
     #[n(1)]
     pub status: u16,
-    /// End-to-end headers of a completed attempt.
+    /// End-to-end HTTP headers of the answer to a completed attempt.
     #[n(2)]
     pub headers: Vec<Header>,
-    /// The server's load.
+    /// Load of the server that answers.
     #[n(3)]
     pub load: LoadReport,
-    /// Retries lent with the attempt that were not spent.
+    /// Number of retries granted with the attempt that were not used.
     #[n(4)]
     pub unspent: u8,
 }
 
-/// What nodes say to each other on a connection.
+/// A frame of a connection between two nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
-    /// First frame of each end.
+    /// First frame sent by each end of a connection.
     Hello(Hello),
-    /// Begins a stream.
+    /// Opens a stream.
     Open(StreamId, Box<Open>),
-    /// Body bytes, in either direction.
+    /// Body bytes of a stream, in either direction.
     Data(StreamId, Bytes),
-    /// The receiver of a body has read this many bytes more.
+    /// Flow-control credit: the receiver of a body has read this many more bytes.
     Credit(StreamId, u32),
-    /// Answers a stream.
+    /// Head of the answer on a stream.
     Head(StreamId, Box<AnswerHead>),
     /// The sender's body is complete.
     End(StreamId),
-    /// The sender gives the stream up: the attempt is cancelled, or the answer's
-    /// body broke off.
+    /// The sender aborts the stream: the attempt is cancelled, or the answer's body
+    /// ended early.
     Cancel(StreamId),
     /// Asks for a [`Frame::Pong`] with the same number.
     Ping(u64),
     /// Answers a [`Frame::Ping`].
     Pong(u64),
-    /// The sender is leaving: no new streams; those open are finished.
+    /// The sender is shutting down: no new streams may be opened; open streams are finished.
     GoAway,
 }
 
-/// A frame as it is encoded; body bytes are borrowed from the receive buffer.
+/// The encoded form of a [`Frame`]; body bytes are borrowed from the receive buffer.
 #[derive(Encode, Decode)]
 pub(super) enum WireFrame<'buffer> {
     #[n(0)]
--- a/crates/protocol/src/frame/mod.rs
+++ b/crates/protocol/src/frame/mod.rs
@@ -1,14 +1,14 @@
-//! Frames between two nodes: calls, their bodies, answers and flow control.
+//! Frames that nodes exchange: calls, their bodies, answers and flow control.
 //!
 //! A connection carries many streams; one stream is one attempt. The node that
-//! made the connection opens streams, the other answers them. On the wire a
-//! frame is a length of [`LENGTH_PREFIX_BYTES`] in network byte order and one
-//! CBOR value. Both ends send [`Frame::Hello`] first.
+//! made the connection opens streams, the other node answers them. An encoded
+//! frame is a length prefix of [`LENGTH_PREFIX_BYTES`] in network byte order and
+//! one CBOR value. Both ends send [`Frame::Hello`] first.
 //!
-//! - [`message`]: the frames themselves;
-//! - [`context`]: what a call carries, with the remaining time in place of a
+//! - [`message`]: types of the frames;
+//! - [`context`]: metadata of a call, with the remaining time in place of a
 //!   deadline, because clocks of two machines are never compared;
-//! - [`codec`]: lengths, encoding and typed decoding errors.
+//! - [`codec`]: encoding, decoding and typed decoding errors.
 
 pub mod codec;
 pub mod context;
@@ -18,13 +18,15 @@
 pub use context::WireContext;
 pub use message::{AnswerHead, Frame, Header, Hello, Open, StreamId};
 
-/// Raised with every change of the frames that older nodes can't read.
+/// Version of the frame protocol, raised with every change that older nodes can't decode.
 pub const PROTOCOL_VERSION: u16 = 1;
-/// Length of the length in front of each frame.
+/// Size of the length prefix of each frame, bytes.
 pub const LENGTH_PREFIX_BYTES: usize = 4;
-/// Longest frame a node accepts, without its length prefix.
+/// Maximum size of a frame without its length prefix, bytes.
 pub const MAX_FRAME_BYTES: usize = 128 * 1024;
-/// Most body bytes in one [`Frame::Data`], so that streams take short turns.
+/// Maximum number of body bytes in one [`Frame::Data`], so that no stream occupies the
+/// connection for long.
 pub const MAX_DATA_BYTES: usize = 16 * 1024;
-/// Body bytes that a sender may have unread by the other end, for each stream.
+/// Flow-control window of each stream: body bytes that a sender may have sent and the other end
+/// has not read yet.
 pub const STREAM_WINDOW_BYTES: usize = 256 * 1024;
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,11 +1,14 @@
 //! Typed messages between lifthollow processes and their minicbor encoding.
 //!
-//! [`answer`] says how an attempt ended, [`load`] what a server reports about
-//! its own load with every answer, [`control`] the datagrams between control
-//! threads, [`frame`] how calls cross between nodes,
-//! [`claim`] how a node claims an idempotency key and [`roster`] at which nodes,
-//! [`suspects`] which requests may crash servers, [`quota`] how nodes lend each other what
-//! a tenant may send.
+//! - [`answer`]: how an attempt ended;
+//! - [`load`]: the load that a server reports with every answer;
+//! - [`control`]: datagrams between control threads;
+//! - [`frame`]: frames that carry calls between nodes;
+//! - [`claim`]: claims on idempotency keys;
+//! - [`roster`]: the nodes that store the claims;
+//! - [`suspects`]: reports of requests that may crash servers;
+//! - [`quota`]: how nodes share the rate limit of a tenant;
+//! - [`operators`]: responses of the operators' port.
 
 pub mod answer;
 pub mod claim;
--- a/crates/protocol/src/load.rs
+++ b/crates/protocol/src/load.rs
@@ -1,4 +1,4 @@
-//! What a server reports about its own load with every answer.
+//! The load that a server reports with every answer.
 
 use std::fmt;
 
@@ -12,44 +12,46 @@
 #[cbor(transparent)]
 pub struct AdmissionLevel(#[n(0)] pub u16);
 
-const USER_LEVELS: u16 = 128;
-const CLASSES: u16 = 3;
+const USER_LEVELS_PER_CLASS: u16 = 128;
+const CLASS_COUNT: u16 = 3;
 
 impl AdmissionLevel {
-    /// Admits everything.
+    /// The level that admits every call.
     pub const OPEN: AdmissionLevel = AdmissionLevel(0);
-    /// Admits nothing: there is no server that could run a call.
-    pub const CLOSED: AdmissionLevel = AdmissionLevel(CLASSES * USER_LEVELS);
+    /// The level that admits no call, because no server could run one.
+    pub const CLOSED: AdmissionLevel = AdmissionLevel(CLASS_COUNT * USER_LEVELS_PER_CLASS);
 
-    /// The level at which `priority` is the lowest that is admitted.
+    /// Returns the level at which `priority` is the lowest that is admitted.
     pub fn of(priority: Priority) -> Self {
         let class = match priority.class {
             PriorityClass::Sheddable => 0,
             PriorityClass::Normal => 1,
             PriorityClass::Critical => 2,
         };
-        AdmissionLevel(class * USER_LEVELS + u16::from(priority.user).min(USER_LEVELS - 1))
+        AdmissionLevel(
+            class * USER_LEVELS_PER_CLASS + u16::from(priority.user).min(USER_LEVELS_PER_CLASS - 1),
+        )
     }
 
-    /// The priority whose level this is; the inverse of [`AdmissionLevel::of`].
+    /// Returns the lowest priority that is admitted; the inverse of [`AdmissionLevel::of`].
     pub fn priority(self) -> Priority {
-        let class = match self.0 / USER_LEVELS {
+        let class = match self.0 / USER_LEVELS_PER_CLASS {
             0 => PriorityClass::Sheddable,
             1 => PriorityClass::Normal,
             _ => PriorityClass::Critical,
         };
-        let user = (self.0 % USER_LEVELS) as u8;
+        let user = (self.0 % USER_LEVELS_PER_CLASS) as u8;
         Priority { class, user }
     }
 
-    /// Whether a call of `priority` is admitted.
+    /// Returns whether a call of `priority` is admitted at this level.
     pub fn admits(self, priority: Priority) -> bool {
         AdmissionLevel::of(priority) >= self
     }
 }
 
-/// `everything`, `nothing`, or the lowest class that is admitted and the lowest user
-/// priority inside it, such as `critical/95`.
+/// Formats as `everything`, `nothing`, or the lowest admitted class and the lowest admitted
+/// user priority within it, such as `critical/95`.
 impl fmt::Display for AdmissionLevel {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         if *self == AdmissionLevel::OPEN {
@@ -58,31 +60,31 @@
         if *self >= AdmissionLevel::CLOSED {
             return formatter.write_str("nothing");
         }
-        let class = match self.0 / USER_LEVELS {
+        let class = match self.0 / USER_LEVELS_PER_CLASS {
             0 => PriorityClass::Sheddable,
             1 => PriorityClass::Normal,
             _ => PriorityClass::Critical,
         };
-        write!(formatter, "{class}/{}", self.0 % USER_LEVELS)
+        write!(formatter, "{class}/{}", self.0 % USER_LEVELS_PER_CLASS)
     }
 }
 
-/// Load of one service on one server, as its own node sees it.
+/// Load of one service on one server, as measured by the server's own node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct LoadReport {
-    /// Calls running at the back end.
+    /// Number of calls running at the back end.
     #[n(0)]
     pub in_flight: u32,
-    /// Calls waiting in the node's queue.
+    /// Number of calls waiting in the node's queue.
     #[n(1)]
     pub queued: u32,
-    /// Calls the node lets run at once now.
+    /// Current limit of concurrent calls at the back end.
     #[n(2)]
     pub limit: u32,
-    /// Lowest priority admitted by the server or by services it needs.
+    /// Lowest priority admitted by the server and by the services that it depends on.
     #[n(3)]
     pub admission_level: AdmissionLevel,
-    /// The server takes no new work.
+    /// Whether the server is shutting down and accepts no new calls.
     #[n(4)]
     pub leaving: bool,
 }
--- a/crates/protocol/src/operators.rs
+++ b/crates/protocol/src/operators.rs
@@ -1,5 +1,5 @@
-//! What a node's operators' port answers, as JSON. The daemon writes these
-//! types and the operators' client reads them.
+//! JSON responses of a node's operators' port. The daemon serializes these types
+//! and the operators' client deserializes them.
 
 use std::fmt;
 
@@ -7,160 +7,160 @@
 
 use crate::RefusalReason;
 
-/// `GET /status`: a node in short.
+/// `GET /status`: summary of a node's state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
     /// The node's address.
     pub node: String,
-    /// This life of the node.
+    /// Incarnation of the running node process.
     pub incarnation: u64,
-    /// Its data centre.
+    /// The node's data centre.
     pub side: String,
-    /// Its failure domain.
+    /// The node's failure domain.
     pub zone: u16,
-    /// The decisions it runs.
+    /// Name of the routing and admission policy that the node runs.
     pub policy: String,
     /// Seconds since the process started.
     pub uptime_seconds: f64,
-    /// Whether a planned stop has begun.
+    /// Whether a planned shutdown of the node has begun.
     pub leaving: bool,
     /// Number of the table in force; 0 if there is none yet.
     pub table_number: u64,
     /// Digest of the table in force, in hexadecimal.
     pub table_digest: String,
-    /// Why the platform's last answer for the table was not taken, if it was not.
+    /// Why the node rejected the platform's last answer for the table; none if it was accepted.
     pub table_fault: Option<String>,
-    /// Calls of local callers that are not answered yet.
+    /// Number of calls of local callers that are not answered yet.
     pub calls_in_progress: usize,
-    /// Attempts of other nodes that are queued or running.
+    /// Number of attempts from other nodes that are queued or running.
     pub attempts_in_progress: usize,
-    /// The services whose back ends stand beside the node.
+    /// Load of the services whose back ends run on the node's machine.
     pub services: Vec<ServiceLoad>,
-    /// How many servers it knows.
+    /// Number of servers that the node knows.
     pub members_known: usize,
-    /// The services that are called from the node.
+    /// Statistics for each service and side that is called from the node.
     #[serde(default)]
     pub edges: Vec<EdgeStatus>,
 }
 
-/// Calls from a node to one side of a service.
+/// Statistics of the calls from a node to one side of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EdgeStatus {
-    /// The service.
+    /// Name of the called service.
     pub service: String,
-    /// The side.
+    /// Side that is called: `old` or `new`.
     pub side: String,
-    /// First attempts that the weights gave to the side.
+    /// Number of first attempts that the weights assigned to the side.
     pub given: u64,
-    /// Those of them that the other side had to carry.
+    /// Number of the attempts in `given` that were sent to the other side instead.
     pub spilled: u64,
-    /// Further attempts.
+    /// Number of attempts after the first one of a call.
     pub retries: u64,
-    /// Servers in normal use.
+    /// Number of the side's servers in normal use.
     pub servers_in_use: usize,
-    /// Servers left out or on trial because they fail.
+    /// Number of the side's servers that are excluded or on probation because they fail.
     pub servers_left_out: usize,
     /// Lowest priority that the side's servers admit; 0 admits everything.
     pub admission_level: u16,
 }
 
-/// Load of one service beside a node.
+/// Load of one service whose back end runs on a node's machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceLoad {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Calls running at the back end.
+    /// Number of calls running at the back end.
     pub in_flight: u32,
-    /// Calls waiting in the queue.
+    /// Number of calls waiting in the node's queue.
     pub queued: u32,
-    /// Calls that may run at once now.
+    /// Current limit of concurrent calls at the back end.
     pub limit: u32,
-    /// Lowest priority admitted; 0 admits everything.
+    /// Lowest priority that the node admits for the service; 0 admits everything.
     pub admission_level: u16,
 }
 
 /// `GET /members`: all nodes that a node knows, itself included.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Members {
-    /// The nodes, ordered by address.
+    /// The known nodes, ordered by address.
     pub members: Vec<KnownMember>,
 }
 
-/// One node as another knows it.
+/// One node as known to another node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KnownMember {
     /// The node's address.
     pub node: String,
-    /// The life of the node that is known; 0 if nothing was heard of it yet.
+    /// Last known incarnation of the node; 0 if nothing was received about it yet.
     pub incarnation: u64,
-    /// Its data centre.
+    /// The node's data centre.
     pub side: String,
-    /// Its failure domain.
+    /// The node's failure domain.
     pub zone: u16,
-    /// The services whose back ends stand beside it.
+    /// The services whose back ends run on the node's machine.
     pub services: Vec<String>,
-    /// What nodes tell each other: `alive`, `suspected`, `leaving` or `removed`.
+    /// Membership status of the node: `alive`, `suspected`, `leaving` or `removed`.
     pub status: String,
-    /// What the platform's list says: `never`, `live`, `leaving` or `dropped`.
+    /// State of the node in the platform's list: `never`, `live`, `leaving` or `dropped`.
     pub listing: String,
-    /// What decisions make of it: `serving`, `suspected` or `leaving`; none if
-    /// it offers nothing or must not be used.
+    /// State of the node as a server in routing: `serving`, `suspected` or `leaving`;
+    /// none if it offers no service or must not be used.
     pub use_as: Option<String>,
-    /// Seconds since it last wrote to the node that answers.
+    /// Seconds since the responding node last received a message from the node.
     pub heard_seconds_ago: Option<f64>,
-    /// Seconds since its status is not `alive`.
+    /// Seconds for which the node's status has not been `alive`.
     pub not_alive_seconds: Option<f64>,
-    /// Number of the table in force there when it was last heard.
+    /// Number of the table in force on the node, as of its last message.
     pub table_number: u64,
-    /// Digest of that table, in hexadecimal.
+    /// Digest of the table in force on the node, in hexadecimal, as of its last message.
     pub table_digest: String,
 }
 
-/// `GET /leaving`: whether a node is leaving and what it still carries.
+/// `GET /leaving`: whether a node is shutting down and how much work it still has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingStatus {
-    /// Whether a planned stop has begun.
+    /// Whether a planned shutdown of the node has begun.
     pub leaving: bool,
-    /// Calls of local callers that are not answered yet.
+    /// Number of calls of local callers that are not answered yet.
     pub calls_in_progress: usize,
-    /// Attempts of other nodes that are queued or running.
+    /// Number of attempts from other nodes that are queued or running.
     pub attempts_in_progress: usize,
 }
 
 /// `GET /explain`: recent refusals of a node, the newest first.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The service that was asked for.
+    /// Service given in the query, to which the refusals are restricted.
     pub service: Option<String>,
-    /// The request that was asked for.
+    /// Request id given in the query, to which the refusals are restricted.
     pub request: Option<String>,
-    /// The refusals that match.
+    /// The refusals that match the query, the newest first.
     pub refusals: Vec<Refusal>,
 }
 
-/// `GET /snapshot`: everything above at one moment, for bug reports.
+/// `GET /snapshot`: status, members and refusals of a node at one moment, for bug reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeSnapshot {
-    /// The node in short.
+    /// Summary of the node's state.
     pub status: NodeStatus,
-    /// All nodes it knows.
+    /// All nodes that the node knows, itself included.
     pub members: Vec<KnownMember>,
-    /// Its recent refusals, the newest first.
+    /// Recent refusals of the node, the newest first.
     pub refusals: Vec<Refusal>,
 }
 
-/// What the caller was told of a call without an answer.
+/// What the caller is told about a call that got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It truly did not run.
+    /// The call certainly did not run.
     NotRun,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// The word in headers, logs and status pages.
+    /// Returns the outcome's name in headers, logs and status pages.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::NotRun => "not-run",
@@ -175,55 +175,55 @@
     }
 }
 
-/// One refusal.
+/// One refused call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// When, in seconds since the process started.
+    /// Time of the refusal, in seconds since the process started.
     pub at_seconds: f64,
-    /// The service that was called.
+    /// Name of the called service.
     pub service: String,
-    /// The whole request, in hexadecimal.
+    /// Id of the end-to-end request, in hexadecimal.
     pub request: String,
-    /// What the caller was told.
+    /// Outcome that was reported to the caller.
     pub outcome: Outcome,
-    /// Why.
+    /// Why the call was refused.
     pub reason: RefusalReason,
-    /// What the decision was taken on.
+    /// State of the node on which the refusal was based.
     pub state: RefusalState,
 }
 
-/// The state that led to a refusal.
+/// State of the node on which a refusal was based.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "place", rename_all = "snake_case")]
 pub enum RefusalState {
-    /// Refused on the caller's side.
+    /// The call was refused by the caller's node.
     Outbound {
         /// Number of the table in force.
         table_number: u64,
-        /// Servers known that take new work.
+        /// Number of known servers that accept new calls.
         serving: usize,
-        /// Servers known that may have failed.
+        /// Number of known servers that may have failed.
         suspected: usize,
-        /// Servers known that are leaving.
+        /// Number of known servers that are shutting down.
         leaving: usize,
     },
-    /// Refused before the back end beside the node.
+    /// The call was refused by the server's node, in front of its back end.
     Inbound {
-        /// Calls running at the back end.
+        /// Number of calls running at the back end.
         in_flight: u32,
-        /// Calls waiting in the queue.
+        /// Number of calls waiting in the node's queue.
         queued: u32,
-        /// Calls that could run at once.
+        /// Limit of concurrent calls at the back end.
         limit: u32,
-        /// Lowest priority admitted.
+        /// Lowest priority that the node admitted; 0 admits everything.
         admission_level: u16,
-        /// Whether the node was leaving.
+        /// Whether the node was shutting down.
         leaving: bool,
     },
 }
 
 impl RefusalState {
-    /// `outbound` or `inbound`.
+    /// Returns where the call was refused: `outbound` or `inbound`.
     pub fn place(&self) -> &'static str {
         match self {
             RefusalState::Outbound { .. } => "outbound",
@@ -232,37 +232,38 @@
     }
 }
 
-/// `GET /claims?service=SERVICE&key=KEY`: what a node knows of an idempotency key.
+/// `GET /claims?service=SERVICE&key=KEY`: what a node knows about an idempotency key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClaimStatus {
-    /// The service.
+    /// Name of the service to which the key belongs.
     pub service: String,
-    /// The key as the caller wrote it.
+    /// The idempotency key as given by the caller.
     pub key: String,
     /// Epoch of the roster in force at the node.
     pub roster_epoch: u32,
-    /// The key's replicas by that roster.
+    /// Addresses of the key's replicas according to the roster in force.
     pub replicas: Vec<String>,
-    /// The key's replicas by the roster before, while a change is in progress.
+    /// Addresses of the key's replicas according to the previous roster, while a roster change is
+    /// in progress.
     pub previous_replicas: Vec<String>,
     /// Whether this node is a replica of the key and may vote on it.
     pub votes: bool,
-    /// This node's record of the key; none if it is no replica or the key is free.
+    /// This node's record of the key; none if it is not a replica or the key is not claimed.
     pub record: Option<ClaimRecord>,
 }
 
-/// A replica's record of a key.
+/// A replica's record of an idempotency key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// `claimed`, `recovered`, `released`, `completed`, `answer_too_large` or
-    /// `answer_lost`.
+    /// State of the key: `claimed`, `recovered`, `released`, `completed`,
+    /// `answer_too_large` or `answer_lost`.
     pub state: String,
     /// The node that claimed the key.
     pub holder: String,
-    /// The life of that node.
+    /// Incarnation of the node that claimed the key.
     pub holder_incarnation: u64,
-    /// HTTP status of the recorded answer.
+    /// HTTP status of the recorded answer; none if no answer is recorded.
     pub status: Option<u16>,
-    /// Seconds until the record is forgotten.
+    /// Seconds until the record expires.
     pub expires_in_seconds: f64,
 }
--- a/crates/protocol/src/suspects.rs
+++ b/crates/protocol/src/suspects.rs
@@ -1,40 +1,41 @@
-//! What nodes tell each other of requests that may crash servers.
+//! Reports that nodes exchange about request contents that may crash servers.
 
 use lifthollow_state::mesh::InstanceId;
 use minicbor::{Decode, Encode};
 
-/// A crash that a content was aboard of.
+/// A server crash during which a request with the content was running.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CrashReport {
     /// The server that crashed.
     #[n(0)]
     pub server: InstanceId,
-    /// How long ago, milliseconds; rather too much than too little.
+    /// Time since the crash, milliseconds, overestimated rather than underestimated.
     #[n(1)]
     pub age_ms: u64,
 }
 
-/// What a node knows of one content from machines of one service.
+/// A node's knowledge of one request content sent from machines of one service.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct SuspectReport {
-    /// Its fingerprint.
+    /// Fingerprint of the request content.
     #[cbor(n(0), with = "minicbor::bytes")]
     pub content: [u8; 16],
-    /// The service on whose machines its requests started.
+    /// The service on whose machines the requests with the content originated.
     #[n(3)]
     pub caller: String,
-    /// The crashes that it was aboard of.
+    /// The crashes during which a request with the content was running.
     #[n(1)]
     pub crashes: Vec<CrashReport>,
-    /// How long ago a server last ran it well, milliseconds; none if that isn't known.
+    /// Time since a server last processed the content without crashing, milliseconds; none if that
+    /// isn't known.
     #[n(2)]
     pub served_ms: Option<u64>,
 }
 
-/// All that a node knows.
+/// All suspect reports of a node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct SuspectReports {
-    /// One for each content and caller's service.
+    /// One report for each pair of content and caller's service.
     #[n(0)]
     pub suspects: Vec<SuspectReport>,
 }
--- a/crates/protocol/tests/claim_messages.rs
+++ b/crates/protocol/tests/claim_messages.rs
@@ -1,4 +1,5 @@
-//! Claim messages survive encoding, fit into a datagram and fail cleanly.
+//! Tests that claim messages are unchanged by encoding and decoding, fit into a datagram and give
+//! an error when damaged.
 
 use lifthollow_protocol::{
     ClaimFinish, ClaimId, ClaimMessage, ClaimRequest, ClaimVote, ControlMessage, KnownClaim,
@@ -10,7 +11,7 @@
 const CBOR_BYTES_OF_16: u8 = 0x50;
 const CBOR_BYTES_OF_15: u8 = 0x4F;
 
-fn claim(number: u64) -> ClaimId {
+fn claim_id(number: u64) -> ClaimId {
     ClaimId {
         node: NodeId::from_u64(number >> 16),
         incarnation: Incarnation(number),
@@ -33,7 +34,7 @@
 fn finish(number: u64) -> ClaimMessage {
     ClaimMessage::Finish(ClaimFinish {
         key: IdempotencyKey(u128::MAX - u128::from(number)),
-        claim: claim(number),
+        claim: claim_id(number),
         body_digest: number,
         outcome: RecordedOutcome::Completed(largest_answer()),
     })
@@ -42,7 +43,7 @@
 fn page(number: u64) -> ClaimMessage {
     let known = KnownClaim {
         key: IdempotencyKey(u128::MAX),
-        claim: claim(number),
+        claim: claim_id(number),
         body_digest: number,
         outcome: Some(RecordedOutcome::Completed(largest_answer())),
     };
@@ -63,7 +64,7 @@
 fn request(number: u64) -> ClaimMessage {
     ClaimMessage::Request(ClaimRequest {
         key: IdempotencyKey(u128::from(number)),
-        claim: claim(number),
+        claim: claim_id(number),
         body_digest: number,
         roster: RosterVersion {
             epoch: number as u32,
@@ -75,13 +76,15 @@
 fn vote(number: u64) -> ClaimMessage {
     ClaimMessage::Vote(ClaimVote {
         key: IdempotencyKey(u128::from(number)),
-        claim: claim(number),
+        claim: claim_id(number),
         roster: RosterVersion::default(),
-        verdict: Verdict::Held { by: claim(!number) },
+        verdict: Verdict::Held {
+            by: claim_id(!number),
+        },
     })
 }
 
-fn survives(message: ClaimMessage) -> bool {
+fn round_trips(message: ClaimMessage) -> bool {
     let message = ControlMessage::Claim(message);
     let bytes = message.encode().unwrap();
     let truncated = &bytes[..bytes.len() - 1];
@@ -89,24 +92,24 @@
     is_same && ControlMessage::decode(truncated).is_err()
 }
 
-fn all_survive(number: u64) -> bool {
+fn all_round_trip(number: u64) -> bool {
     [finish, page, request, vote]
         .iter()
-        .all(|message| survives(message(number)))
+        .all(|message| round_trips(message(number)))
 }
 
 #[test]
-fn messages_survive_encoding_and_truncated_ones_are_errors() {
+fn messages_round_trip_and_truncated_ones_are_errors() {
     QuickCheck::new()
         .tests(300)
         .rng(Gen::from_size_and_seed(100, 1))
-        .quickcheck(all_survive as fn(u64) -> bool);
+        .quickcheck(all_round_trip as fn(u64) -> bool);
 }
 
 #[test]
 fn the_largest_messages_fit_into_a_datagram() {
-    assert!(survives(finish(u64::MAX)));
-    assert!(survives(page(u64::MAX)));
+    assert!(round_trips(finish(u64::MAX)));
+    assert!(round_trips(page(u64::MAX)));
 }
 
 #[test]
--- a/crates/protocol/tests/control_messages.rs
+++ b/crates/protocol/tests/control_messages.rs
@@ -1,4 +1,5 @@
-//! Control datagrams: what is encoded is decoded, and damage gives an error.
+//! Tests that control messages are unchanged by encoding and decoding, and that damaged datagrams
+//! give an error.
 
 use lifthollow_protocol::control::{
     BucketDigests, CONTROL_VERSION, FleetBody, FleetHeader, FleetMessage, MAX_DATAGRAM_BYTES,
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn every_message_survives_its_encoding() {
+fn every_message_round_trips() {
     for message in messages() {
         let datagram = message.encode().expect("small messages fit");
         assert_eq!(ControlMessage::decode(&datagram), Ok(message));
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn another_version_is_named_in_the_error() {
+fn error_contains_the_unsupported_version() {
     let mut datagram = messages()[0].encode().expect("small messages fit");
     datagram[1] = CONTROL_VERSION + 1;
     let expected = ControlError::Version {
@@ -143,7 +144,7 @@
 }
 
 #[test]
-fn messages_beyond_the_datagram_limit_are_not_encoded() {
+fn messages_above_the_datagram_limit_are_not_encoded() {
     let message = ControlMessage::Fleet(FleetMessage {
         header: FleetHeader::default(),
         body: FleetBody::Updates {
@@ -157,7 +158,7 @@
 }
 
 #[test]
-fn random_bytes_are_refused_without_a_panic() {
+fn random_bytes_are_rejected_without_a_panic() {
     fn property(bytes: Vec<u8>) -> bool {
         let mut versioned = vec![0x82, CONTROL_VERSION];
         versioned.extend(&bytes);
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between nodes: round trips, and bytes that are no frames.
+//! Tests of encoding and decoding frames, and of bytes that are not valid frames.
 
 use std::time::Duration;
 
@@ -85,7 +85,7 @@
 }
 
 quickcheck! {
-    fn frames_survive_any_cut_of_the_stream(body: Vec<u8>, cut: usize) -> TestResult {
+    fn frames_round_trip_when_split_across_reads(body: Vec<u8>, cut: usize) -> TestResult {
         if body.len() > MAX_FRAME_BYTES / 2 {
             return TestResult::discard();
         }
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn truncated_frame_is_reported_with_what_is_missing() {
+fn truncated_frame_error_contains_the_missing_bytes() {
     let bytes = encode(&[Frame::Ping(1)]);
     let mut decoder = decoder(&bytes[..bytes.len() - 1]);
     assert!(decoder.next_frame().unwrap().is_none());
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn oversized_length_is_refused_before_its_bytes_arrive() {
+fn oversized_length_is_rejected_before_its_bytes_arrive() {
     let length = MAX_FRAME_BYTES + 1;
     let prefix = (length as u32).to_be_bytes();
     let result = decoder(&prefix).next_frame();
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn frame_too_long_to_be_sent_leaves_the_buffer_as_it_was() {
+fn encoding_an_oversized_frame_leaves_the_buffer_unchanged() {
     let mut buffer = encode(&[Frame::GoAway]);
     let before = buffer.clone();
     let frame = Frame::Open(
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn bytes_behind_a_frame_inside_its_length_are_refused() {
+fn surplus_bytes_within_the_frame_length_are_rejected() {
     let mut bytes = encode(&[Frame::End(StreamId(1))]);
     bytes.extend_from_slice(&[0]);
     let length = (bytes.len() - LENGTH_PREFIX_BYTES) as u32;
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn deadline_crosses_as_remaining_time() {
+fn deadline_is_sent_as_remaining_time() {
     let arrival = Timestamp::from_micros(9_000_000);
     let wire = WireContext::leaving_at(&context(), Timestamp::from_micros(1_000));
     let arrived = wire.arriving_at(arrival);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn deadline_that_has_passed_crosses_as_no_time() {
+fn expired_deadline_is_sent_as_zero_remaining_time() {
     let late = context().deadline + Duration::from_secs(1);
     let wire = WireContext::leaving_at(&context(), late);
     assert_eq!(wire.arriving_at(Timestamp::ZERO).deadline, Timestamp::ZERO);
