--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -1,8 +1,8 @@
-//! The time of a process as timestamps.
+//! The clock of a process, which returns timestamps.
 //!
-//! While a machine is suspended its steady clock stands still, and the time since its boot
-//! goes on. Timestamps count the latter: what they are for (ages of views, leases,
-//! deadlines, windows) is about the world outside, where time has passed.
+//! While a machine is suspended its monotonic clock stops, but its boot-time clock continues.
+//! Timestamps are read from the boot-time clock, because they measure the ages of views, leases,
+//! deadlines and windows, for which the time during a suspension counts.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -10,11 +10,11 @@
 use lifthollow_state::Timestamp;
 use rustix::time::{ClockId, clock_gettime};
 
-/// The clock that timestamps count. With the steady clock a view counted as 1.2 s old after a
-/// suspension of 2 s (simulated nodes, test `suspended_machines`).
-const COUNTED: ClockId = ClockId::Boottime;
+/// The system clock from which timestamps are read. With the monotonic clock, a view had an age
+/// of only 1.2 s after a suspension of 2 s (simulated nodes, test `suspended_machines`).
+const TIMESTAMP_CLOCK: ClockId = ClockId::Boottime;
 
-/// Reads the time. Copies share one origin.
+/// Clock that returns timestamps. Copies of a clock share one origin.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     source: Source,
@@ -30,15 +30,15 @@
     },
 }
 
-/// How long a simulated machine was suspended since its node started. Its time is that of
-/// the run time, which a simulation moves.
+/// Total time for which a simulated machine was suspended since its node started. The time of a
+/// simulated machine is that of the tokio runtime, which the simulation advances.
 #[derive(Debug, Default)]
 pub struct SimulatedSuspension {
     micros: AtomicU64,
 }
 
 impl SimulatedSuspension {
-    /// The steady clock has stood still for `time` more.
+    /// Adds `time` to the total time for which the simulated monotonic clock was stopped.
     pub fn add(&self, time: Duration) {
         let micros = time.as_micros() as u64;
         self.micros.fetch_add(micros, Ordering::Relaxed);
@@ -50,12 +50,12 @@
 }
 
 impl Clock {
-    /// The system's clock, with its origin now.
+    /// Creates a clock that reads the system's clock, with its origin at the present time.
     pub fn start() -> Self {
         Clock::of(Source::System)
     }
 
-    /// The clock of a simulated machine, with its origin now.
+    /// Creates the clock of a simulated machine, with its origin at the present time.
     pub fn simulated(suspension: &'static SimulatedSuspension) -> Self {
         Clock::of(Source::Simulated {
             suspension,
@@ -70,14 +70,14 @@
         }
     }
 
-    /// The time now.
+    /// Returns the present time.
     pub fn now(&self) -> Timestamp {
         let passed = self.source.read().saturating_sub(self.origin);
         Timestamp::from_micros(passed.as_micros() as u64)
     }
 
-    /// The instant of the run time's timers at which `timestamp` is or was, if the machine is
-    /// not suspended until then.
+    /// Converts `timestamp` to an instant of the tokio runtime's timers, under the assumption that
+    /// the machine is not suspended until then.
     pub fn instant(&self, timestamp: Timestamp) -> Instant {
         let (now, instant) = (self.now(), instant_now());
         if timestamp >= now {
@@ -89,16 +89,16 @@
 }
 
 impl Source {
-    /// The time that is counted, from an arbitrary origin.
+    /// Reads the time since an arbitrary origin.
     fn read(self) -> Duration {
         match self {
             Source::System => {
-                let time = clock_gettime(COUNTED);
+                let time = clock_gettime(TIMESTAMP_CLOCK);
                 Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
             }
             Source::Simulated { suspension, start } => {
                 let passed = instant_now().saturating_duration_since(start);
-                match COUNTED {
+                match TIMESTAMP_CLOCK {
                     ClockId::Boottime => passed,
                     _ => passed.saturating_sub(suspension.total()),
                 }
--- a/crates/transport/src/datagram.rs
+++ b/crates/transport/src/datagram.rs
@@ -1,4 +1,4 @@
-//! Messages between control threads: one message, one UDP datagram.
+//! Sending and receiving of control messages, each as one UDP datagram.
 
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
@@ -7,43 +7,43 @@
 use lifthollow_protocol::{ControlError, ControlMessage};
 use lifthollow_state::NodeId;
 
-/// Why a message was not sent.
+/// Why a control message was not sent.
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
-    /// The socket refused it.
-    #[error("socket: {0}")]
+    /// The socket returned an error.
+    #[error("sending a control datagram: socket: {0}")]
     Socket(#[from] io::Error),
-    /// It can't be encoded.
+    /// The message can't be encoded as a datagram.
     #[error(transparent)]
     Message(#[from] ControlError),
 }
 
-/// A datagram that came in.
+/// A received datagram.
 #[derive(Debug)]
 pub enum Received {
-    /// A message of another node.
+    /// A valid message of another node.
     Message {
-        /// The node.
+        /// The node that sent the message.
         from: NodeId,
-        /// What it says.
+        /// The decoded message.
         message: ControlMessage,
     },
-    /// Something else, which is dropped.
+    /// A datagram that is not a valid message and is dropped.
     Malformed {
-        /// Where it came from.
+        /// Source address of the datagram.
         from: SocketAddr,
-        /// What is wrong with it.
+        /// Why the datagram could not be decoded.
         error: ControlError,
     },
 }
 
-/// Sends messages without ever waiting.
+/// Sends control messages without blocking.
 pub struct DatagramSender(UdpSocket);
 
-/// Receives messages.
+/// Receives control messages.
 pub struct DatagramReceiver(tokio::net::UdpSocket);
 
-/// Binds a socket; both ends share it. To be called inside a tokio runtime.
+/// Binds a UDP socket that sender and receiver share. Must be called inside a tokio runtime.
 pub fn bind(address: SocketAddrV4) -> io::Result<(DatagramSender, DatagramReceiver)> {
     let socket = UdpSocket::bind(address)?;
     socket.set_nonblocking(true)?;
@@ -52,7 +52,7 @@
 }
 
 impl DatagramSender {
-    /// Sends a message; it may be lost.
+    /// Sends a message to a node. Delivery is not guaranteed.
     pub fn send(&self, to: NodeId, message: &ControlMessage) -> Result<(), SendError> {
         let datagram = message.encode()?;
         self.0.send_to(&datagram, to.address())?;
@@ -61,13 +61,15 @@
 }
 
 impl DatagramReceiver {
-    /// Waits for the next datagram.
+    /// Waits for the next datagram and decodes it.
     pub async fn receive(&self) -> io::Result<Received> {
-        // One byte more than allowed, so that an oversized datagram is noticed.
+        // One byte more than the maximum, so that oversized datagrams are detected.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         let (length, from) = self.0.recv_from(&mut buffer).await?;
         let SocketAddr::V4(address) = from else {
-            return Err(io::Error::other("datagram of another address family"));
+            return Err(io::Error::other(
+                "control datagram from an address that is not IPv4",
+            ));
         };
         Ok(match ControlMessage::decode(&buffer[..length]) {
             Ok(message) => Received::Message {
--- a/crates/transport/src/http/backend.rs
+++ b/crates/transport/src/http/backend.rs
@@ -1,4 +1,4 @@
-//! The HTTP client to the back end beside this node, with kept connections.
+//! HTTP client for the back end on this node's machine, with a pool of keep-alive connections.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -18,21 +18,22 @@
 use crate::http::AnyBody;
 use crate::http::connection::{Connection, Connections, Slot};
 
-/// A back end beside the node that does not accept within this time is down.
+/// Time within which a back end on the same machine must accept a connection; otherwise it is
+/// considered down.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why there is no answer of the back end.
+/// Why there is no answer from the back end.
 #[derive(Debug, thiserror::Error)]
 pub enum BackendError {
-    /// The request was not sent: it did not run.
-    #[error("not sent: {0}")]
+    /// The request was not sent, so it did not run.
+    #[error("request not sent to the back end: {0}")]
     NotSent(String),
-    /// The request may have been received: it may have run.
-    #[error("no answer: {0}")]
+    /// The request may have been received, so it may have run.
+    #[error("no answer from the back end: {0}")]
     Lost(hyper::Error),
 }
 
-/// Connections to one back end.
+/// Pool of connections to one back end.
 pub struct BackendPool {
     address: SocketAddr,
     max_header_bytes: usize,
@@ -41,7 +42,7 @@
 }
 
 impl BackendPool {
-    /// A pool for the back end at `address`, of at most `ceiling` connections.
+    /// Creates a pool of at most `ceiling` connections to the back end at `address`.
     pub fn new(address: SocketAddr, ceiling: usize, max_header_bytes: usize) -> Self {
         BackendPool {
             address,
@@ -51,18 +52,19 @@
         }
     }
 
-    /// Changes the ceiling; connections above it are closed as they are used up.
+    /// Changes the maximum number of connections. Surplus connections are closed when their
+    /// exchanges end.
     pub fn set_ceiling(&self, ceiling: usize) {
         self.ceiling.store(ceiling, Ordering::Release);
     }
 
-    /// Connections that are open now.
+    /// Returns the number of open connections.
     pub fn open_connections(&self) -> usize {
         self.connections.open()
     }
 
-    /// Sends a request and waits for the head of the answer. Dropping the future
-    /// or the answer's body before its end closes the connection.
+    /// Sends a request and waits for the head of the answer. Dropping the future, or
+    /// the answer's body before its end, closes the connection.
     pub async fn send(
         &self,
         request: Request<AnyBody>,
@@ -75,10 +77,10 @@
             }
             let sent = connection.sender.try_send_request(request).await;
             let mut error = match sent {
-                Ok(response) => return Ok(self.with_connection(response, connection)),
+                Ok(response) => return Ok(self.attach_connection(response, connection)),
                 Err(error) => error,
             };
-            // The back end closed an idle connection just now: nothing was sent.
+            // The back end has just closed the idle connection, so the request was not sent.
             request = match error.take_message() {
                 Some(unsent) => unsent,
                 None => return Err(BackendError::Lost(error.into_error())),
@@ -86,7 +88,7 @@
         }
     }
 
-    fn with_connection(
+    fn attach_connection(
         &self,
         response: Response<Incoming>,
         connection: Connection,
@@ -122,7 +124,7 @@
         let connecting = TcpStream::connect(self.address);
         let socket = timeout(CONNECT_TIMEOUT, connecting)
             .await
-            .map_err(|_| not_sent("the connection timed out"))?
+            .map_err(|_| not_sent("connecting to the back end timed out"))?
             .map_err(not_sent)?;
         socket.set_nodelay(true).map_err(not_sent)?;
         let (sender, driver) = http1::Builder::new()
@@ -142,8 +144,8 @@
     BackendError::NotSent(error.to_string())
 }
 
-/// The body of a back end's answer. Its connection goes back to the pool at the
-/// body's end, and is closed if the body is dropped earlier.
+/// The body of a back end's answer. Its connection is returned to the pool at the
+/// end of the body, and is closed if the body is dropped earlier.
 pub struct BackendBody {
     incoming: Incoming,
     connection: Option<Connection>,
--- a/crates/transport/src/http/connection.rs
+++ b/crates/transport/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a back end, and the count of those that are open.
+//! Connections to one back end: the idle ones and the number of open ones.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,10 +11,10 @@
 
 use crate::http::AnyBody;
 
-/// A connection unused this long is closed, before the back end does it.
+/// Maximum idle time of a connection, after which it is closed, before the back end closes it.
 const MAX_IDLE: Duration = Duration::from_secs(4);
 
-/// The connections to one back end.
+/// Idle connections to one back end and the number of all open ones.
 #[derive(Default)]
 pub(super) struct Connections {
     idle: Mutex<Vec<IdleConnection>>,
@@ -27,13 +27,13 @@
     since: Instant,
 }
 
-/// A connection that is in use, or idle in the pool. Dropping it closes it.
+/// A connection that is in use or idle in the pool. Dropping it closes the connection.
 pub(super) struct Connection {
     pub(super) sender: SendRequest<AnyBody>,
     driver: JoinHandle<()>,
 }
 
-/// The right to one connection, held for as long as its socket is open.
+/// A reservation for one open connection, held for as long as its socket is open.
 pub(super) struct Slot(Arc<Connections>);
 
 impl Connection {
@@ -56,12 +56,12 @@
 }
 
 impl Connections {
-    /// Connections that are open, idle or in use.
+    /// Returns the number of open connections, idle or in use.
     pub(super) fn open(&self) -> usize {
         self.open.load(Ordering::Acquire)
     }
 
-    /// A connection that was still open when last heard of.
+    /// Takes an idle connection that is not known to be closed; none if there is none.
     pub(super) fn take_idle(&self) -> Option<Connection> {
         let mut idle = self.lock();
         while let Some(candidate) = idle.pop() {
@@ -73,7 +73,7 @@
         None
     }
 
-    /// Keeps a connection whose last exchange is complete.
+    /// Returns a connection to the pool after its exchange is complete.
     pub(super) fn put_idle(&self, connection: Connection) {
         if connection.sender.is_closed() {
             return;
@@ -83,16 +83,16 @@
         self.freed.notify_one();
     }
 
-    /// The right to one more connection, if `ceiling` allows it.
+    /// Reserves one more connection; none if `ceiling` connections are open already.
     pub(super) fn reserve(self: &Arc<Self>, ceiling: usize) -> Option<Slot> {
-        let below = |open: usize| (open < ceiling).then_some(open + 1);
+        let increment_below_ceiling = |open: usize| (open < ceiling).then_some(open + 1);
         self.open
-            .fetch_update(Ordering::AcqRel, Ordering::Acquire, below)
+            .fetch_update(Ordering::AcqRel, Ordering::Acquire, increment_below_ceiling)
             .is_ok()
             .then(|| Slot(self.clone()))
     }
 
-    /// Waits until a connection was closed or became idle.
+    /// Waits until a connection is closed or becomes idle.
     pub(super) async fn freed(&self) {
         self.freed.notified().await;
     }
--- a/crates/transport/src/http/header.rs
+++ b/crates/transport/src/http/header.rs
@@ -1,11 +1,11 @@
-//! End-to-end headers between HTTP and frames.
+//! Conversion of end-to-end headers between HTTP messages and frames.
 
 use hyper::HeaderMap;
 use hyper::header::{self, HeaderName, HeaderValue};
 
 use lifthollow_protocol::frame::Header;
 
-/// Headers that concern one connection only and are never passed on.
+/// Hop-by-hop headers, which apply to one connection only and are never forwarded.
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -17,13 +17,13 @@
 ];
 const KEEP_ALIVE: &str = "keep-alive";
 
-/// The headers of a message that belong to it on every hop. Those for which
-/// `leave_out` is true are dropped too.
-pub fn end_to_end(headers: &HeaderMap, leave_out: impl Fn(&HeaderName) -> bool) -> Vec<Header> {
+/// Returns the end-to-end headers of an HTTP message, without those for which
+/// `is_excluded` returns true.
+pub fn end_to_end(headers: &HeaderMap, is_excluded: impl Fn(&HeaderName) -> bool) -> Vec<Header> {
     let named_by_connection = connection_options(headers);
     headers
         .iter()
-        .filter(|(name, _)| !is_hop_by_hop(name) && !leave_out(name))
+        .filter(|(name, _)| !is_hop_by_hop(name) && !is_excluded(name))
         .filter(|(name, _)| {
             !named_by_connection
                 .iter()
@@ -36,8 +36,8 @@
         .collect()
 }
 
-/// The headers of a frame as HTTP headers; those that HTTP does not allow are
-/// left out.
+/// Converts the headers of a frame to HTTP headers and skips those that are not valid
+/// in HTTP.
 pub fn to_header_map(headers: &[Header]) -> HeaderMap {
     let mut map = HeaderMap::with_capacity(headers.len());
     for header in headers {
@@ -54,7 +54,7 @@
     HOP_BY_HOP.contains(name) || name.as_str() == KEEP_ALIVE
 }
 
-/// Headers that the `Connection` header declares to be hop-by-hop.
+/// Returns the names of headers that the `Connection` header declares to be hop-by-hop.
 fn connection_options(headers: &HeaderMap) -> Vec<String> {
     headers
         .get_all(header::CONNECTION)
--- a/crates/transport/src/http/mod.rs
+++ b/crates/transport/src/http/mod.rs
@@ -1,6 +1,6 @@
-//! HTTP/1.1 towards callers ([`server`]) and back ends ([`backend`]).
+//! HTTP/1.1 server for callers ([`server`]) and client of back ends ([`backend`]).
 //!
-//! [`header`] moves end-to-end headers between HTTP and frames.
+//! [`header`] converts end-to-end headers between HTTP messages and frames.
 
 pub mod backend;
 mod connection;
@@ -13,8 +13,8 @@
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 
-/// Any error that ends a body early.
+/// Any error that ends an HTTP body early.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A body of any origin.
+/// An HTTP body of any type.
 pub type AnyBody = UnsyncBoxBody<Bytes, BodyError>;
--- a/crates/transport/src/http/server.rs
+++ b/crates/transport/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server for callers.
+//! HTTP server for callers on the same machine.
 
 use std::convert::Infallible;
 use std::io;
@@ -16,13 +16,14 @@
 
 use crate::http::AnyBody;
 
-/// A caller that does not send the head of its request within this time is
+/// Time within which a caller must send the head of its request; otherwise it is
 /// disconnected.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after the system refused to accept a connection (out of descriptors).
+/// Pause after accepting a connection failed, for example because the process has no free
+/// file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Answers one request. Its future is dropped when the caller hangs up.
+/// Handles callers' requests. The future of a request is dropped when the caller disconnects.
 pub trait CallHandler: Send + Sync + 'static {
     /// Answers `request`.
     fn handle(
@@ -31,7 +32,7 @@
     ) -> impl Future<Output = Response<AnyBody>> + Send;
 }
 
-/// Takes connections of callers.
+/// Accepts connections of callers and passes their requests to a [`CallHandler`].
 pub struct CallerServer<H> {
     handler: Arc<H>,
     max_header_bytes: usize,
@@ -39,7 +40,7 @@
 }
 
 impl<H: CallHandler> CallerServer<H> {
-    /// A server that hands requests to `handler`, until `stop` turns true.
+    /// Creates a server that passes requests to `handler` until `stop` becomes true.
     pub fn new(handler: Arc<H>, max_header_bytes: usize, stop: watch::Receiver<bool>) -> Self {
         CallerServer {
             handler,
@@ -48,14 +49,14 @@
         }
     }
 
-    /// Takes connections until told to stop, then waits until every request in
+    /// Accepts connections until `stop` becomes true, then waits until every request in
     /// progress has been answered.
     pub async fn run(&self, listener: TcpListener) {
         let mut connections = JoinSet::new();
         let mut stop = self.stop.clone();
         loop {
             tokio::select! {
-                () = stopped(&mut stop) => break,
+                () = wait_for_stop(&mut stop) => break,
                 accepted = listener.accept() => match accepted {
                     Ok((socket, _)) => self.spawn(socket, &mut connections),
                     Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
@@ -96,12 +97,12 @@
     tokio::pin!(connection);
     tokio::select! {
         result = connection.as_mut() => return result.map_err(io::Error::other),
-        () = stopped(&mut stop) => connection.as_mut().graceful_shutdown(),
+        () = wait_for_stop(&mut stop) => connection.as_mut().graceful_shutdown(),
     }
     connection.await.map_err(io::Error::other)
 }
 
-async fn stopped(stop: &mut watch::Receiver<bool>) {
-    // A sender that is gone means that the process stops.
+async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
+    // The sender is only dropped when the process stops, so an error also means to stop.
     let _ = stop.wait_for(|stopped| *stopped).await;
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,13 +1,14 @@
-//! I/O of lifthollow: connections between nodes, HTTP towards callers and back
-//! ends, control datagrams and signals.
+//! I/O of lifthollow: connections between nodes, HTTP to callers and back ends,
+//! control datagrams and signals.
 //!
-//! Nothing here decides; the daemon ties it to the decisions.
+//! This crate makes no routing or admission decisions; the daemon connects it to the
+//! code that does.
 //!
 //! - [`mux`]: calls between nodes over long-lived TCP connections;
-//! - [`http`]: callers on one side, back ends on the other;
+//! - [`http`]: the server for callers and the client of back ends;
 //! - [`datagram`]: messages between control threads over UDP;
-//! - [`signals`]: the planned stop;
-//! - [`clock`]: the monotonic clock as timestamps;
+//! - [`signals`]: signals that request a planned shutdown;
+//! - [`clock`]: the process's clock, which returns timestamps;
 //! - [`logging`]: JSON lines on standard output.
 
 pub mod clock;
--- a/crates/transport/src/mux/body.rs
+++ b/crates/transport/src/mux/body.rs
@@ -1,4 +1,4 @@
-//! Body bytes of one stream, with flow control in both directions.
+//! Sending and receiving the body of one stream, with flow control.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -14,25 +14,25 @@
 
 use crate::mux::streams::{StreamEvent, Streams, Unread};
 
-/// A reader returns credit when it has read this much since the last time.
+/// Number of bytes read since the last credit frame at which a reader returns credit again.
 const CREDIT_STEP_BYTES: usize = STREAM_WINDOW_BYTES / 4;
 
-/// The stream ended before its body did: the other end gave it up, or the
-/// connection broke.
+/// The stream ended before its body was complete: the other end cancelled the stream,
+/// or the connection failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the stream ended before its body")]
+#[error("the stream ended before its body was complete")]
 pub struct StreamClosed;
 
-/// What happens to the stream when a body has been sent whole.
+/// What happens to the stream when a body has been sent completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterBody {
-    /// An answer is still to come.
+    /// The stream stays open, because the answer is still expected.
     KeepStream,
-    /// Nothing more is to come in this direction or the other.
+    /// The stream ends, because nothing more is expected in either direction.
     EndStream,
 }
 
-/// Sends a body. Dropping it before [`BodySender::finish`] cancels the stream.
+/// Sends the body of a stream. Dropping it before [`BodySender::finish`] cancels the stream.
 pub struct BodySender {
     stream: StreamId,
     streams: Arc<Streams>,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Sends bytes as fast as the reader takes them.
+    /// Sends bytes, waiting for flow-control credit from the reader where necessary.
     pub async fn send(&mut self, mut bytes: Bytes) -> Result<(), StreamClosed> {
         while !bytes.is_empty() {
             let piece = bytes.split_to(bytes.len().min(MAX_DATA_BYTES));
@@ -72,7 +72,7 @@
         Ok(())
     }
 
-    /// Says that the body is complete.
+    /// Marks the body as complete.
     pub fn finish(mut self) {
         self.finished = true;
         let _ = self.streams.queue().send(Frame::End(self.stream));
@@ -90,19 +90,20 @@
     }
 }
 
-/// Receives a body.
+/// Receives the body of a stream.
 pub struct BodyReceiver {
     stream: StreamId,
     streams: Arc<Streams>,
     events: RecvStream<'static, StreamEvent>,
     unread: Arc<Unread>,
-    unreturned: usize,
+    unreturned_credit: usize,
     ended: bool,
     cancel_on_drop: bool,
 }
 
 impl BodyReceiver {
-    /// `cancel_on_drop`: a reader that stops before the end gives up the stream.
+    /// Creates a receiver. With `cancel_on_drop`, dropping it before the end of the body cancels
+    /// the stream.
     pub(super) fn new(
         stream: StreamId,
         streams: Arc<Streams>,
@@ -115,13 +116,13 @@
             streams,
             events: events.into_stream(),
             unread,
-            unreturned: 0,
+            unreturned_credit: 0,
             ended: false,
             cancel_on_drop,
         }
     }
 
-    /// The next bytes; `None` after the last ones.
+    /// Waits for the next bytes of the body; returns `None` after the last ones.
     pub async fn next(&mut self) -> Option<Result<Bytes, StreamClosed>> {
         StreamExt::next(self).await
     }
@@ -130,19 +131,19 @@
         self.events.next().await
     }
 
-    /// The body has no bytes.
+    /// Marks the body as empty and complete.
     pub(super) fn end(&mut self) {
         self.ended = true;
     }
 
-    /// Gives credit back in steps, so that few frames are spent on it.
+    /// Counts bytes as read and returns credit in steps, so that few credit frames are sent.
     fn return_credit(&mut self, bytes: usize) {
         self.unread.read(bytes);
-        self.unreturned += bytes;
-        if self.unreturned >= CREDIT_STEP_BYTES {
-            let credit = Frame::Credit(self.stream, self.unreturned as u32);
+        self.unreturned_credit += bytes;
+        if self.unreturned_credit >= CREDIT_STEP_BYTES {
+            let credit = Frame::Credit(self.stream, self.unreturned_credit as u32);
             let _ = self.streams.queue().send(credit);
-            self.unreturned = 0;
+            self.unreturned_credit = 0;
         }
     }
 }
--- a/crates/transport/src/mux/buffered.rs
+++ b/crates/transport/src/mux/buffered.rs
@@ -1,9 +1,10 @@
-//! Count of body bytes that a node holds.
+//! Counter of the body bytes that a node buffers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Body bytes received and not yet read, over all connections it is given to.
+/// Counter of body bytes that were received and not yet read, over all connections that share
+/// the counter.
 #[derive(Clone, Debug, Default)]
 pub struct BufferedBytes {
     counts: Arc<Counts>,
@@ -16,12 +17,12 @@
 }
 
 impl BufferedBytes {
-    /// Bytes held now.
+    /// Returns the number of bytes that are buffered now.
     pub fn now(&self) -> usize {
         self.counts.now.load(Ordering::Relaxed)
     }
 
-    /// Most bytes held at any time.
+    /// Returns the largest number of bytes that were buffered at any time.
     pub fn peak(&self) -> usize {
         self.counts.peak.load(Ordering::Relaxed)
     }
--- a/crates/transport/src/mux/client.rs
+++ b/crates/transport/src/mux/client.rs
@@ -1,4 +1,4 @@
-//! The end of a connection that opens streams.
+//! The connecting end of a connection, which opens streams.
 
 use std::io;
 use std::sync::Arc;
@@ -18,62 +18,63 @@
 use crate::mux::reader::{ConnectionError, FrameReader};
 use crate::mux::streams::{ProtocolViolation, StreamEvent, Streams};
 
-/// A node that does not take a connection and greet within this time is down.
+/// Time within which a node must accept a connection and send its hello; otherwise it is
+/// considered down.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why no connection could be made.
+/// Why no connection to a node could be established.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
     /// The socket could not be connected.
-    #[error("connect: {0}")]
+    #[error("connecting to the node: {0}")]
     Socket(#[from] io::Error),
-    /// No connection or greeting in time.
-    #[error("no connection within {CONNECT_TIMEOUT:?}")]
+    /// The connection or the exchange of hello frames timed out.
+    #[error("no connection to the node within {CONNECT_TIMEOUT:?}")]
     TimedOut,
-    /// The greeting failed.
+    /// The exchange of hello frames failed.
     #[error(transparent)]
     Greeting(#[from] ConnectionError),
 }
 
-/// How an attempt without an answer ended.
+/// Why an attempt has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AttemptFailure {
-    /// The open frame never left this node: the call did not run.
-    #[error("the attempt never left this node")]
+    /// The open frame was never sent, so the call did not run.
+    #[error("the attempt was never sent to the other node")]
     NotSent,
-    /// The open frame may have arrived: the call may have run.
-    #[error("the connection broke after the attempt was sent")]
+    /// The open frame may have been received, so the call may have run.
+    #[error("the connection failed after the attempt was sent")]
     MaybeSent,
 }
 
-/// A connection on which attempts can be opened.
+/// A connection to another node, on which attempts can be opened.
 pub struct ClientConnection {
     streams: Arc<Streams>,
     next_stream: AtomicU32,
 }
 
 impl ClientConnection {
-    /// Connects to `peer` and exchanges greetings.
+    /// Connects to `peer` and exchanges hello frames.
     pub async fn connect(
         own: NodeId,
         peer: NodeId,
         buffered: BufferedBytes,
     ) -> Result<ClientConnection, ConnectError> {
-        let connecting = greet(own, peer, buffered);
+        let connecting = connect_and_exchange_hello(own, peer, buffered);
         timeout(CONNECT_TIMEOUT, connecting)
             .await
             .map_err(|_| ConnectError::TimedOut)?
     }
 
-    /// Whether new attempts can be opened.
+    /// Returns whether new attempts can be opened on the connection.
     pub fn is_usable(&self) -> bool {
         self.streams.accepts()
     }
 
-    /// Begins an attempt. Its body, if it has one, is sent with the [`BodySender`].
+    /// Opens an attempt. Its body, if it has one, is sent with the [`BodySender`].
     pub fn open(&self, open: Open) -> Result<OpenedAttempt, AttemptFailure> {
         let stream = StreamId(self.next_stream.fetch_add(1, Ordering::Relaxed));
-        let parts = self.streams.insert(stream).ok_or(AttemptFailure::NotSent)?;
+        let stream_parts = self.streams.insert(stream).ok_or(AttemptFailure::NotSent)?;
         let state = Arc::new(OpenState::default());
         let bodiless = open.bodiless;
         let queue = self.streams.queue();
@@ -84,12 +85,12 @@
             self.streams.remove(stream);
             return Err(AttemptFailure::NotSent);
         }
-        let body = (!bodiless).then(|| self.body_sender(stream, parts.window));
+        let body = (!bodiless).then(|| self.body_sender(stream, stream_parts.window));
         let events = BodyReceiver::new(
             stream,
             self.streams.clone(),
-            parts.events,
-            parts.unread,
+            stream_parts.events,
+            stream_parts.unread,
             true,
         );
         let answer = AnswerReceiver { events, state };
@@ -108,9 +109,9 @@
     }
 }
 
-/// The two directions of an attempt.
+/// The sending and receiving ends of an opened attempt.
 pub struct OpenedAttempt {
-    /// Sends the body; absent if the open frame says that there is none.
+    /// Sends the body; none if the open frame states that there is no body.
     pub body: Option<BodySender>,
     /// Receives the answer.
     pub answer: AnswerReceiver,
@@ -123,7 +124,7 @@
 }
 
 impl AnswerReceiver {
-    /// The head of the answer, whose body follows with [`AnswerReceiver::into_body`].
+    /// Waits for the head of the answer. Its body is read with [`AnswerReceiver::into_body`].
     pub async fn head(&mut self) -> Result<Box<AnswerHead>, AttemptFailure> {
         if let Some(StreamEvent::Head(head)) = self.events.next_event().await {
             return Ok(head);
@@ -134,13 +135,13 @@
         Err(AttemptFailure::MaybeSent)
     }
 
-    /// The body of the answer.
+    /// Returns the receiver for the body of the answer.
     pub fn into_body(self) -> BodyReceiver {
         self.events
     }
 }
 
-async fn greet(
+async fn connect_and_exchange_hello(
     own: NodeId,
     peer: NodeId,
     buffered: BufferedBytes,
@@ -160,7 +161,7 @@
         let _ = write_frames(frames, write_half).await;
         writer_streams.close();
     });
-    // Dropped, and thereby closed, if the greeting fails.
+    // Dropped, and so closed, if the exchange of hello frames fails.
     let connection = ClientConnection {
         streams: streams.clone(),
         next_stream: AtomicU32::new(1),
--- a/crates/transport/src/mux/mod.rs
+++ b/crates/transport/src/mux/mod.rs
@@ -1,15 +1,15 @@
 //! Multiplexed long-lived TCP connections between nodes.
 //!
 //! The node that connects opens streams, one for each attempt; the other end
-//! answers them. Body bytes in either direction are held back by a credit
-//! window of the stream alone, so a slow reader never holds back its
-//! neighbours, and no connection buffers more than the windows of its streams.
+//! answers them. Body bytes in either direction are limited by a flow-control
+//! window of each stream, so a slow reader never delays other streams, and no
+//! connection buffers more than the windows of its streams.
 //!
-//! - [`peers`]: one connection to each node, made again after a back-off;
-//! - [`client`]: the end that opens streams;
-//! - [`server`]: the end that answers them;
+//! - [`peers`]: one connection to each node, re-established after a back-off;
+//! - [`client`]: the end of a connection that opens streams;
+//! - [`server`]: the end of a connection that answers streams;
 //! - [`body`]: body bytes with flow control;
-//! - `streams`, `queue`, `reader`: the parts both ends share.
+//! - `streams`, `queue`, `reader`: code that both ends share.
 
 pub mod body;
 pub mod buffered;
@@ -30,9 +30,9 @@
 
 use std::time::Duration;
 
-/// A connection that was silent this long is asked for a sign of life.
+/// Time without received data after which a ping is sent on a connection.
 const PING_INTERVAL: Duration = Duration::from_secs(10);
-/// Unanswered signs of life after which a connection counts as broken.
+/// Number of unanswered pings after which a connection is considered broken.
 const MAX_MISSED_PINGS: u32 = 3;
-/// Most streams that one connection may have open.
+/// Maximum number of open streams of one connection.
 const MAX_STREAMS_PER_CONNECTION: usize = 4096;
--- a/crates/transport/src/mux/peers.rs
+++ b/crates/transport/src/mux/peers.rs
@@ -1,4 +1,4 @@
-//! One connection to each node that this node calls.
+//! Pool with one connection to each node that this node calls.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,23 +11,23 @@
 use crate::mux::buffered::BufferedBytes;
 use crate::mux::client::{ClientConnection, ConnectError};
 
-/// Wait after the first failure to connect; doubled with each further one.
+/// Back-off after the first failure to connect; doubled with each further failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest wait between two tries to connect.
+/// Maximum back-off between two attempts to connect.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Why a node can't be reached now. Nothing was sent to it.
+/// Why there is no connection to a node. Nothing was sent to the node.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerUnavailable {
-    /// A connection was tried just now.
+    /// Connecting to the node has just failed.
     #[error(transparent)]
     Connect(#[from] ConnectError),
-    /// The last try failed a moment ago; the next one is not due yet.
-    #[error("backing off after a failed connection")]
+    /// An earlier attempt to connect failed, and the back-off is not over yet.
+    #[error("not connecting to the node: backing off after a failed connection")]
     BackingOff,
 }
 
-/// Connections to other nodes, made when first needed and kept.
+/// Connections to other nodes, established when first needed and kept open.
 pub struct PeerPool {
     own: NodeId,
     buffered: BufferedBytes,
@@ -47,7 +47,7 @@
 }
 
 impl PeerPool {
-    /// A pool of node `own`.
+    /// Creates the connection pool of the node `own`.
     pub fn new(own: NodeId, buffered: BufferedBytes) -> Self {
         PeerPool {
             own,
@@ -56,38 +56,38 @@
         }
     }
 
-    /// The connection to `node`, made now if there is none.
+    /// Returns the connection to `node`, which is established now if there is none.
     pub async fn connection(&self, node: NodeId) -> Result<Arc<ClientConnection>, PeerUnavailable> {
         let peer = lock(&self.peers).entry(node).or_default().clone();
-        if let Some(connection) = peer.usable() {
+        if let Some(connection) = peer.usable_connection() {
             return Ok(connection);
         }
         let mut backoff = peer.connecting.lock().await;
-        if let Some(connection) = peer.usable() {
+        if let Some(connection) = peer.usable_connection() {
             return Ok(connection);
         }
         if backoff.is_running() {
             return Err(PeerUnavailable::BackingOff);
         }
         let connected = ClientConnection::connect(self.own, node, self.buffered.clone()).await;
-        backoff.record(connected.is_ok());
+        backoff.record_result(connected.is_ok());
         let connection = Arc::new(connected?);
         *lock(&peer.current) = Some(connection.clone());
         Ok(connection)
     }
 
-    /// Nodes to which a usable connection stands.
+    /// Returns the number of nodes to which a usable_connection connection exists.
     pub fn connected(&self) -> usize {
         let peers = lock(&self.peers);
         peers
             .values()
-            .filter(|peer| peer.usable().is_some())
+            .filter(|peer| peer.usable_connection().is_some())
             .count()
     }
 }
 
 impl Peer {
-    fn usable(&self) -> Option<Arc<ClientConnection>> {
+    fn usable_connection(&self) -> Option<Arc<ClientConnection>> {
         let current = lock(&self.current).clone();
         current.filter(|connection| connection.is_usable())
     }
@@ -98,7 +98,7 @@
         self.retry_at.is_some_and(|at| Instant::now() < at)
     }
 
-    fn record(&mut self, connected: bool) {
+    fn record_result(&mut self, connected: bool) {
         if connected {
             *self = Backoff::default();
             return;
--- a/crates/transport/src/mux/queue.rs
+++ b/crates/transport/src/mux/queue.rs
@@ -1,4 +1,4 @@
-//! Frames on their way to a connection's writer.
+//! Queue of frames to be written to a connection.
 
 use std::io;
 use std::sync::Arc;
@@ -12,34 +12,35 @@
 use lifthollow_protocol::frame::{Frame, FrameError, Open, StreamId};
 use lifthollow_protocol::frame::{encode_data_head, encode_frame};
 
-/// Body bytes that may wait for the socket, over all streams of a connection.
+/// Maximum number of queued body bytes, over all streams of a connection.
 const MAX_BACKLOG_BYTES: usize = 1024 * 1024;
-/// Frames are gathered up to this size before they are written.
+/// Size up to which encoded frames are collected before they are written, bytes.
 const WRITE_BATCH_BYTES: usize = 64 * 1024;
-/// Body data at least this long is written from where it lies, not copied.
+/// Minimum size of body data that is written to the socket without copying it, bytes.
 const MIN_UNCOPIED_BYTES: usize = 4 * 1024;
 
-/// The connection is closed; nothing more can be sent.
+/// The connection is closed, so nothing more can be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the connection is closed")]
 pub(super) struct ConnectionClosed;
 
-/// Whether an open frame may have reached the other node.
+/// State of a queued open frame, which tells whether it may have reached the other node.
 #[derive(Debug, Default)]
 pub(super) struct OpenState(AtomicU8);
 
 const QUEUED: u8 = 0;
-const WRITTEN: u8 = 1;
+const WRITING_BEGUN: u8 = 1;
 const ABANDONED: u8 = 2;
 
 impl OpenState {
-    /// Called before the first byte is written; false if it must not be.
+    /// Called before the frame's first byte is written; returns false if the frame must not be
+    /// written because it was abandoned.
     fn begin_writing(&self) -> bool {
-        self.leave_queue(WRITTEN)
+        self.leave_queue(WRITING_BEGUN)
     }
 
-    /// Called when the attempt is given up; true if the frame was not and will
-    /// never be written.
+    /// Called when the attempt is abandoned; returns true if the frame was not written and
+    /// never will be.
     pub(super) fn abandon(&self) -> bool {
         self.leave_queue(ABANDONED) || self.0.load(Ordering::Acquire) == ABANDONED
     }
@@ -58,28 +59,28 @@
     Close,
 }
 
-/// The sending end of a connection; cheap to clone.
+/// The sending end of a connection's frame queue; cheap to clone.
 #[derive(Clone)]
 pub(super) struct FrameQueue {
     sender: flume::Sender<Queued>,
     backlog: Arc<Semaphore>,
 }
 
-/// The receiving end, for [`write_frames`].
+/// The receiving end of a connection's frame queue, for [`write_frames`].
 pub(super) struct QueuedFrames {
     receiver: flume::Receiver<Queued>,
     backlog: Arc<Semaphore>,
 }
 
 impl Drop for QueuedFrames {
-    /// Nothing is written any more: whoever waits for room must not wait on.
+    /// Wakes all senders that wait for capacity, because nothing is written any more.
     fn drop(&mut self) {
         self.backlog.close();
         self.receiver.drain();
     }
 }
 
-/// A queue for one connection.
+/// Creates the frame queue of one connection.
 pub(super) fn frame_queue() -> (FrameQueue, QueuedFrames) {
     let (sender, receiver) = flume::unbounded();
     let backlog = Arc::new(Semaphore::new(MAX_BACKLOG_BYTES));
@@ -96,7 +97,7 @@
         self.push(Queued::Frame(frame))
     }
 
-    /// Queues an open frame, which is left out if it is abandoned in time.
+    /// Queues an open frame, which is not written if it is abandoned before its turn.
     pub(super) fn send_open(
         &self,
         stream: StreamId,
@@ -106,7 +107,7 @@
         self.push(Queued::Open(stream, open, state))
     }
 
-    /// Queues body bytes once the connection's backlog has room for them.
+    /// Waits until the connection's backlog has capacity for the body bytes, then queues them.
     pub(super) async fn send_data(
         &self,
         stream: StreamId,
@@ -120,7 +121,7 @@
         self.push(Queued::Data(stream, bytes, permit))
     }
 
-    /// Closes the connection after what is queued.
+    /// Closes the connection after all queued frames are written.
     pub(super) fn close(&self) {
         let _ = self.push(Queued::Close);
     }
@@ -130,13 +131,13 @@
     }
 }
 
-/// Why a connection's writer stopped before its queue was closed.
+/// Why the writer of a connection stopped before its queue was closed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WriteError {
-    /// The socket failed.
+    /// Writing to the socket failed.
     #[error(transparent)]
     Socket(#[from] io::Error),
-    /// A frame was too long to be sent.
+    /// A frame exceeded the maximum size and can't be sent.
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
@@ -165,7 +166,7 @@
     Ok(())
 }
 
-/// Encoded frames that are written together.
+/// Encoded frames that are written to the socket together.
 #[derive(Default)]
 struct Batch {
     buffer: BytesMut,
--- a/crates/transport/src/mux/reader.rs
+++ b/crates/transport/src/mux/reader.rs
@@ -1,4 +1,4 @@
-//! Reading frames from a connection, with signs of life.
+//! Reading frames from a connection, with pings that detect a silent peer.
 
 use std::io;
 
@@ -13,35 +13,35 @@
 use crate::mux::streams::ProtocolViolation;
 use crate::mux::{MAX_MISSED_PINGS, PING_INTERVAL};
 
-/// Space kept ready for each read from the socket.
+/// Buffer space reserved for each read from the socket, bytes.
 const READ_BYTES: usize = 64 * 1024;
 
 /// Why a connection ended.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
-    /// The other end closed it between two frames.
-    #[error("closed by the other node")]
+    /// The other end closed the connection between two frames.
+    #[error("the other node closed the connection")]
     Closed,
-    /// The socket failed.
-    #[error("socket: {0}")]
+    /// Reading from the socket failed.
+    #[error("reading from the connection: socket: {0}")]
     Socket(#[from] io::Error),
-    /// What came is not a frame.
+    /// The received bytes are not a valid frame.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The other node speaks another version.
-    #[error("the other node speaks version {theirs}, this one {PROTOCOL_VERSION}")]
+    /// The other node uses another version of the protocol.
+    #[error("the other node uses protocol version {theirs}, this node {PROTOCOL_VERSION}")]
     Version {
-        /// Its version.
+        /// Protocol version of the other node.
         theirs: u16,
     },
-    /// The first frame is not the greeting.
-    #[error("the first frame is not a hello")]
+    /// The first frame is not [`Frame::Hello`].
+    #[error("the first frame of the connection is not a hello frame")]
     NoHello,
-    /// The other node broke the rules of the protocol.
+    /// The other node violated the protocol.
     #[error(transparent)]
     Violation(#[from] ProtocolViolation),
-    /// Nothing came for too long, not even answers to pings.
-    #[error("no sign of life")]
+    /// Nothing was received for too long, not even answers to pings.
+    #[error("no answer from the other node to {MAX_MISSED_PINGS} pings")]
     Silent,
 }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The other node's greeting, which is its first frame.
+    /// Reads the other node's hello, which must be its first frame, and returns the node.
     pub(super) async fn hello(&mut self) -> Result<NodeId, ConnectionError> {
         loop {
             match self.decoder.next_frame()? {
@@ -70,7 +70,8 @@
         }
     }
 
-    /// The next frame that is not a sign of life.
+    /// Reads the next frame other than pings, which are answered, and pongs. Sends pings while
+    /// nothing is received.
     pub(super) async fn next(&mut self, queue: &FrameQueue) -> Result<Frame, ConnectionError> {
         let mut missed_pings = 0;
         loop {
@@ -85,7 +86,7 @@
                     }
                     Err(_) => {
                         missed_pings += 1;
-                        ping(queue, missed_pings)?;
+                        ping_or_give_up(queue, missed_pings)?;
                     }
                 },
             }
@@ -111,7 +112,7 @@
     Ok(NodeId::from_u64(hello.node))
 }
 
-fn ping(queue: &FrameQueue, missed_pings: u32) -> Result<(), ConnectionError> {
+fn ping_or_give_up(queue: &FrameQueue, missed_pings: u32) -> Result<(), ConnectionError> {
     if missed_pings > MAX_MISSED_PINGS {
         return Err(ConnectionError::Silent);
     }
--- a/crates/transport/src/mux/server.rs
+++ b/crates/transport/src/mux/server.rs
@@ -1,4 +1,4 @@
-//! The end of a connection that answers streams.
+//! The accepting end of a connection, which answers streams.
 
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError, Weak};
@@ -19,23 +19,23 @@
 
 /// An attempt that another node has opened.
 pub struct IncomingAttempt {
-    /// The other node.
+    /// The node that opened the attempt.
     pub from: NodeId,
-    /// What it asks for.
+    /// The frame that opened the attempt, with service, method, path and headers.
     pub open: Box<Open>,
-    /// The body.
+    /// Receives the body of the call.
     pub body: BodyReceiver,
-    /// Where the answer goes.
+    /// Sends the answer to the attempt.
     pub answer: AnswerSender,
-    /// Tells when the other node gives the attempt up.
+    /// Signals that the other node has cancelled the attempt.
     pub cancelled: CancelSignal,
 }
 
-/// Ends when the attempt is cancelled or its connection breaks.
+/// Signal that completes when the attempt is cancelled or its connection fails.
 pub struct CancelSignal(oneshot::Receiver<()>);
 
 impl CancelSignal {
-    /// Waits for the end of the attempt.
+    /// Waits until the attempt is cancelled or its connection fails.
     pub async fn cancelled(&mut self) {
         let _ = (&mut self.0).await;
     }
@@ -49,7 +49,7 @@
 }
 
 impl AnswerSender {
-    /// Sends the head; the body follows with the [`BodySender`].
+    /// Sends the head of the answer; the body is sent with the returned [`BodySender`].
     pub fn send_head(self, head: AnswerHead) -> BodySender {
         let frame = Frame::Head(self.stream, Box::new(head));
         let _ = self.queue.send(frame);
@@ -62,7 +62,7 @@
     }
 }
 
-/// Takes connections of other nodes and hands out their attempts.
+/// Accepts connections of other nodes and passes on the attempts opened on them.
 pub struct MuxServer {
     own: NodeId,
     attempts: flume::Sender<IncomingAttempt>,
@@ -77,7 +77,7 @@
 }
 
 impl MuxServer {
-    /// A server of node `own` that hands attempts to `attempts`.
+    /// Creates the server of the node `own`, which sends attempts to the channel `attempts`.
     pub fn new(
         own: NodeId,
         attempts: flume::Sender<IncomingAttempt>,
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Takes connections until the listener fails or the future is dropped.
-    /// Connections outlive it not: they end with the future.
+    /// Accepts connections until the listener fails or the future is dropped. All
+    /// connections are closed when the future ends.
     pub async fn run(&self, listener: TcpListener) -> io::Result<()> {
         let mut connections = JoinSet::new();
         loop {
@@ -103,7 +103,7 @@
                             connections.spawn(connection.run());
                         }
                     }
-                    Err(error) if is_about_one_connection(&error) => {}
+                    Err(error) if affects_one_connection_only(&error) => {}
                     Err(error) => return Err(error),
                 },
                 Some(_) = connections.join_next() => {}
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Asks all nodes to open no more attempts on their connections.
+    /// Asks all connected nodes to open no more attempts, because this node is shutting down.
     pub fn leave(&self) {
         let mut connections = self.lock();
         connections.leaving = true;
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Connections that other nodes still hold.
+    /// Returns the number of open connections from other nodes.
     pub fn open_connections(&self) -> usize {
         let connections = self.lock();
         let open = connections.streams.iter();
@@ -145,7 +145,7 @@
         })
     }
 
-    /// Greets, and lists the connection for [`MuxServer::leave`].
+    /// Sends the hello frame and registers the connection for [`MuxServer::leave`].
     fn register(&self, streams: &Arc<Streams>) {
         let hello = Hello {
             version: PROTOCOL_VERSION,
@@ -167,8 +167,8 @@
     }
 }
 
-/// Whether an accept error leaves the listener usable.
-fn is_about_one_connection(error: &io::Error) -> bool {
+/// Returns whether an accept error concerns only one connection, so the listener stays usable.
+fn affects_one_connection_only(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         io::ErrorKind::ConnectionAborted
@@ -232,13 +232,13 @@
             return Err(ProtocolViolation::StreamReused(stream));
         }
         if let Some(parts) = self.streams.insert(stream) {
-            let attempt = self.incoming(from, stream, open, parts);
+            let attempt = self.incoming_attempt(from, stream, open, parts);
             let _ = self.attempts.send(attempt);
         }
         Ok(())
     }
 
-    fn incoming(
+    fn incoming_attempt(
         &self,
         from: NodeId,
         stream: StreamId,
--- a/crates/transport/src/mux/streams.rs
+++ b/crates/transport/src/mux/streams.rs
@@ -1,4 +1,4 @@
-//! The streams that are open on one connection, as both ends keep them.
+//! Registry of the open streams of one connection, used at both ends.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,8 +12,8 @@
 use crate::mux::buffered::BufferedBytes;
 use crate::mux::queue::FrameQueue;
 
-/// What a stream's reader is handed. When the channel ends without
-/// [`StreamEvent::End`], the stream broke.
+/// Event for the reader of a stream. If the channel closes without
+/// [`StreamEvent::End`], the stream ended early.
 #[derive(Debug)]
 pub(super) enum StreamEvent {
     Head(Box<AnswerHead>),
@@ -21,7 +21,7 @@
     End,
 }
 
-/// Body bytes of one stream that were received and not read.
+/// Number of body bytes of one stream that were received and not yet read.
 #[derive(Debug)]
 pub(super) struct Unread {
     stream: AtomicUsize,
@@ -36,13 +36,13 @@
         }
     }
 
-    /// Counts received bytes; false if the sender overran the window.
+    /// Counts received bytes; returns false if the sender exceeded the flow-control window.
     fn receive(&self, bytes: usize) -> bool {
         self.total.add(bytes);
         self.stream.fetch_add(bytes, Ordering::AcqRel) + bytes <= STREAM_WINDOW_BYTES
     }
 
-    /// Counts bytes handed to the reader.
+    /// Counts bytes that were passed to the reader.
     pub(super) fn read(&self, bytes: usize) {
         self.stream.fetch_sub(bytes, Ordering::AcqRel);
         self.total.remove(bytes);
@@ -55,7 +55,7 @@
     }
 }
 
-/// The connection's side of one stream.
+/// The connection's end of one stream.
 pub(super) struct Entry {
     events: flume::Sender<StreamEvent>,
     window: Arc<Semaphore>,
@@ -69,43 +69,43 @@
     }
 }
 
-/// The user's side of one stream.
+/// The user's end of one stream.
 pub(super) struct StreamParts {
     pub(super) events: flume::Receiver<StreamEvent>,
     pub(super) window: Arc<Semaphore>,
     pub(super) unread: Arc<Unread>,
-    /// Ends when the stream leaves the connection's list.
+    /// Completes when the stream is removed from the connection's registry.
     pub(super) closed: oneshot::Receiver<()>,
 }
 
-/// A peer broke the rules of the protocol; the connection is of no more use.
+/// A peer violated the protocol, so the connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolViolation {
-    /// It sent more body bytes than the window allows.
-    #[error("stream {} overran its window", .0.0)]
+    /// The peer sent more body bytes than the flow-control window allows.
+    #[error("the peer exceeded the flow-control window of stream {}", .0.0)]
     WindowOverrun(StreamId),
-    /// It sent a frame that has no meaning in this direction.
-    #[error("unexpected frame")]
+    /// The peer sent a frame that is not allowed in this direction.
+    #[error("the peer sent a frame that is not allowed in this direction")]
     UnexpectedFrame,
-    /// It opened more streams at once than a connection may have.
-    #[error("too many streams")]
+    /// The peer opened more streams than a connection may have at the same time.
+    #[error("the peer opened too many streams on one connection")]
     TooManyStreams,
-    /// It opened a stream number twice.
-    #[error("stream {} opened twice", .0.0)]
+    /// The peer opened a stream with the number of an open stream.
+    #[error("the peer opened stream {} twice", .0.0)]
     StreamReused(StreamId),
 }
 
 #[derive(Default)]
-struct Table {
+struct Registry {
     entries: HashMap<StreamId, Entry>,
-    /// No new streams; the connection closes with the last one.
+    /// Whether no new streams may be opened and the connection closes with the last stream.
     draining: bool,
     closed: bool,
 }
 
-/// All streams of one connection.
+/// All open streams of one connection.
 pub(super) struct Streams {
-    table: Mutex<Table>,
+    registry: Mutex<Registry>,
     queue: FrameQueue,
     buffered: BufferedBytes,
 }
@@ -113,7 +113,7 @@
 impl Streams {
     pub(super) fn new(queue: FrameQueue, buffered: BufferedBytes) -> Self {
         Streams {
-            table: Mutex::default(),
+            registry: Mutex::default(),
             queue,
             buffered,
         }
@@ -123,14 +123,14 @@
         &self.queue
     }
 
-    /// Lists a stream; `None` if no more streams may be opened.
+    /// Registers a stream; returns `None` if no more streams may be opened.
     pub(super) fn insert(&self, stream: StreamId) -> Option<StreamParts> {
         let (entry, parts) = self.stream_ends();
-        let mut table = self.lock();
-        if table.draining || table.closed {
+        let mut registry = self.lock();
+        if registry.draining || registry.closed {
             return None;
         }
-        table.entries.insert(stream, entry);
+        registry.entries.insert(stream, entry);
         Some(parts)
     }
 
@@ -142,56 +142,56 @@
         self.lock().entries.len()
     }
 
-    /// Whether new streams may be opened.
+    /// Returns whether new streams may be opened.
     pub(super) fn accepts(&self) -> bool {
-        let table = self.lock();
-        !table.draining && !table.closed
+        let registry = self.lock();
+        !registry.draining && !registry.closed
     }
 
-    /// Takes a stream off the list; false if it was not on it.
+    /// Removes a stream; returns false if it was not registered.
     pub(super) fn remove(&self, stream: StreamId) -> bool {
-        let mut table = self.lock();
-        let removed = table.entries.remove(&stream);
-        if table.draining && table.entries.is_empty() {
+        let mut registry = self.lock();
+        let removed = registry.entries.remove(&stream);
+        if registry.draining && registry.entries.is_empty() {
             self.queue.close();
         }
         removed.is_some()
     }
 
-    /// Takes a stream off the list and tells the other end, if it was on it.
+    /// Removes a stream and, if it was registered, sends a cancel frame to the other end.
     pub(super) fn cancel(&self, stream: StreamId) {
         if self.remove(stream) {
             let _ = self.queue.send(Frame::Cancel(stream));
         }
     }
 
-    /// No new streams; the connection is closed when the last one has ended.
+    /// Refuses new streams and closes the connection when the last open stream has ended.
     pub(super) fn drain(&self) {
-        let mut table = self.lock();
-        table.draining = true;
-        if table.entries.is_empty() {
+        let mut registry = self.lock();
+        registry.draining = true;
+        if registry.entries.is_empty() {
             self.queue.close();
         }
     }
 
-    /// The connection is gone: every stream breaks.
+    /// Ends all streams, because the connection has failed or was closed.
     pub(super) fn close(&self) {
-        let mut table = self.lock();
-        table.closed = true;
-        let broken = std::mem::take(&mut table.entries);
-        drop(table);
+        let mut registry = self.lock();
+        registry.closed = true;
+        let broken = std::mem::take(&mut registry.entries);
+        drop(registry);
         drop(broken);
     }
 
-    /// Hands body bytes to a stream's reader. Bytes of a stream that is no longer
-    /// listed are dropped.
+    /// Passes body bytes to the reader of a stream. Bytes of a stream that is no longer
+    /// registered are dropped.
     pub(super) fn receive_data(
         &self,
         stream: StreamId,
         bytes: Bytes,
     ) -> Result<(), ProtocolViolation> {
-        let table = self.lock();
-        let Some(entry) = table.entries.get(&stream) else {
+        let registry = self.lock();
+        let Some(entry) = registry.entries.get(&stream) else {
             return Ok(());
         };
         if !entry.unread.receive(bytes.len()) {
@@ -201,14 +201,14 @@
         Ok(())
     }
 
-    /// Hands an event without bytes to a stream's reader.
+    /// Passes an event without body bytes to the reader of a stream.
     pub(super) fn notify(&self, stream: StreamId, event: StreamEvent) {
         if let Some(entry) = self.lock().entries.get(&stream) {
             let _ = entry.events.send(event);
         }
     }
 
-    /// The other end has read `bytes` more.
+    /// Adds flow-control credit, because the other end has read `bytes` more.
     pub(super) fn add_credit(&self, stream: StreamId, bytes: u32) {
         if let Some(entry) = self.lock().entries.get(&stream) {
             let room = STREAM_WINDOW_BYTES.saturating_sub(entry.window.available_permits());
@@ -236,7 +236,7 @@
         (entry, parts)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Table> {
-        self.table.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Registry> {
+        self.registry.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/transport/src/signals.rs
+++ b/crates/transport/src/signals.rs
@@ -1,20 +1,20 @@
-//! Signals of the operating system.
+//! Handling of operating system signals.
 
 use std::io;
 
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-/// The signals that ask for a planned stop, taken over from the system's default.
+/// Handler for the signals that request a planned shutdown, in place of the default action.
 pub struct StopSignals(Signals);
 
 impl StopSignals {
-    /// Takes over `SIGTERM` and `SIGINT`.
+    /// Registers handlers for `SIGTERM` and `SIGINT`.
     pub fn register() -> io::Result<Self> {
         Signals::new([SIGTERM, SIGINT]).map(StopSignals)
     }
 
-    /// Waits for the next of them.
+    /// Blocks until one of the signals is received.
     pub fn wait(&mut self) {
         self.0.forever().next();
     }
--- a/crates/transport/tests/connection_faults.rs
+++ b/crates/transport/tests/connection_faults.rs
@@ -1,5 +1,5 @@
-//! Connections that break or break the rules: what attempts are told, and that
-//! the node goes on.
+//! Tests of connections that fail or violate the protocol: the results of their
+//! attempts, and that the node keeps serving other connections.
 
 mod support;
 
@@ -15,7 +15,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
-/// The node answers an attempt on a new connection.
+/// Asserts that the node answers an attempt on a new connection.
 async fn assert_serves(server: &Server) {
     let (connection, _) = server.connect().await;
     let mut answer = connection.open(open("/", true)).unwrap().answer;
@@ -23,7 +23,8 @@
     assert!(answer.head().await.is_ok());
 }
 
-/// The node closes the connection that sent `bytes` after the greeting.
+/// Asserts that the node closes a connection that sends `bytes` after its hello frame, and serves
+/// other connections afterwards.
 async fn assert_closes_after(bytes: &[u8]) {
     let server = Server::start().await;
     let mut peer = RawPeer::connect(server.node).await;
@@ -44,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn frame_without_meaning_in_its_direction_closes_its_connection_only() {
+async fn frame_not_allowed_in_its_direction_closes_its_connection_only() {
     let server = Server::start().await;
     let mut peer = RawPeer::connect(server.node).await;
     peer.send(Frame::GoAway).await;
@@ -80,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn sender_that_overruns_its_window_is_disconnected() {
+async fn sender_that_exceeds_its_window_is_disconnected() {
     let server = Server::start().await;
     let mut peer = RawPeer::connect(server.node).await;
     let stream = StreamId(1);
@@ -97,7 +98,7 @@
 }
 
 #[tokio::test]
-async fn node_of_another_version_is_not_connected() {
+async fn connecting_to_a_node_of_another_version_fails() {
     let listener = TcpListener::bind(LOOPBACK).await.unwrap();
     let node = node_of(listener.local_addr().unwrap());
     let peer = tokio::spawn(async move {
@@ -125,7 +126,7 @@
 }
 
 #[tokio::test]
-async fn attempt_on_a_connection_that_breaks_after_it_was_sent_may_have_run() {
+async fn attempt_sent_before_the_connection_failed_may_have_run() {
     let listener = TcpListener::bind(LOOPBACK).await.unwrap();
     let node = node_of(listener.local_addr().unwrap());
     let peer = tokio::spawn(async move {
@@ -139,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn attempt_that_was_still_queued_when_the_connection_broke_did_not_run() {
+async fn attempt_still_queued_when_the_connection_failed_did_not_run() {
     const STREAMS: usize = 128;
     let listener = TcpListener::bind(LOOPBACK).await.unwrap();
     let node = node_of(listener.local_addr().unwrap());
@@ -147,7 +148,7 @@
     let (connection, _) = connect(node).await;
     let peer = accepted.await.unwrap();
     // The peer reads nothing, so these bodies fill the sockets' buffers and the
-    // rest of them waits in the connection's queue.
+    // rest of the bytes stay in the connection's queue.
     let mut answers = Vec::new();
     let mut sending = tokio::task::JoinSet::new();
     for _ in 0..STREAMS {
@@ -160,7 +161,7 @@
             drop((whole, body));
         });
     }
-    // Loopback takes what it takes within milliseconds; then the writer is stuck.
+    // The loopback sockets' buffers are full within milliseconds; then the writer is blocked.
     tokio::time::sleep(Duration::from_millis(500)).await;
     let mut queued = connection.open(open("/", true)).unwrap().answer;
     drop(peer);
@@ -170,7 +171,7 @@
 }
 
 #[tokio::test]
-async fn pool_backs_off_from_a_dead_node_and_finds_it_again() {
+async fn pool_reconnects_to_a_restarted_node_after_backing_off() {
     let listener = TcpListener::bind(LOOPBACK).await.unwrap();
     let address = listener.local_addr().unwrap();
     let node = node_of(address);
--- a/crates/transport/tests/streams.rs
+++ b/crates/transport/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Many streams on one connection: order, flow control, cancellation.
+//! Tests of many streams on one connection: order, flow control and cancellation.
 
 mod support;
 
@@ -10,7 +10,7 @@
 const CHUNK: Bytes = Bytes::from_static(&[7; 64 * 1024]);
 const LARGE_BODY_BYTES: usize = 100 * 1024 * 1024;
 
-async fn send(mut sender: BodySender, total: usize) {
+async fn send_body(mut sender: BodySender, total: usize) {
     let mut left = total;
     while left > 0 {
         let piece = CHUNK.slice(..left.min(CHUNK.len()));
@@ -20,7 +20,7 @@
     sender.finish();
 }
 
-async fn count(mut body: BodyReceiver) -> usize {
+async fn count_body_bytes(mut body: BodyReceiver) -> usize {
     let mut total = 0;
     while let Some(bytes) = body.next().await {
         total += bytes.unwrap().len();
@@ -28,7 +28,7 @@
     total
 }
 
-async fn text(mut body: BodyReceiver) -> String {
+async fn read_body_text(mut body: BodyReceiver) -> String {
     let mut bytes = Vec::new();
     while let Some(next) = body.next().await {
         bytes.extend_from_slice(&next.unwrap());
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test]
-async fn answers_in_any_order_reach_their_own_callers_whole() {
+async fn answers_in_any_order_reach_their_own_callers_complete() {
     const STREAMS: usize = 50;
     let server = Server::start().await;
     let (connection, _) = server.connect().await;
@@ -62,51 +62,66 @@
     }
     for (number, mut answer) in waiting {
         answer.head().await.unwrap();
-        assert_eq!(text(answer.into_body()).await, format!("/{number}"));
+        assert_eq!(
+            read_body_text(answer.into_body()).await,
+            format!("/{number}")
+        );
     }
 }
 
 #[tokio::test]
-async fn large_bodies_pass_both_ways_at_once_in_bounded_memory() {
+async fn concurrent_large_bodies_are_buffered_in_bounded_memory() {
     let server = Server::start().await;
     let (connection, client_buffered) = server.connect().await;
     let OpenedAttempt { body, mut answer } = connection.open(open("/", false)).unwrap();
-    let upload = tokio::spawn(send(body.unwrap(), LARGE_BODY_BYTES));
+    let upload = tokio::spawn(send_body(body.unwrap(), LARGE_BODY_BYTES));
     let attempt = server.next().await;
-    let download = tokio::spawn(send(attempt.answer.send_head(complete()), LARGE_BODY_BYTES));
-    let received = tokio::spawn(count(attempt.body));
+    let download = tokio::spawn(send_body(
+        attempt.answer.send_head(complete()),
+        LARGE_BODY_BYTES,
+    ));
+    let received = tokio::spawn(count_body_bytes(attempt.body));
     answer.head().await.unwrap();
-    // The answer ends the stream, so the upload is awaited first.
+    // The end of the answer ends the stream, so the upload must be complete before it is read.
     let mut answer_body = answer.into_body();
     let first = answer_body.next().await.unwrap().unwrap().len();
     assert_eq!(received.await.unwrap(), LARGE_BODY_BYTES);
     upload.await.unwrap();
-    assert_eq!(first + count(answer_body).await, LARGE_BODY_BYTES);
+    assert_eq!(
+        first + count_body_bytes(answer_body).await,
+        LARGE_BODY_BYTES
+    );
     download.await.unwrap();
     assert!(server.buffered.peak() <= STREAM_WINDOW_BYTES);
     assert!(client_buffered.peak() <= STREAM_WINDOW_BYTES);
 }
 
 #[tokio::test]
-async fn slow_reader_holds_back_its_own_stream_only() {
+async fn slow_reader_delays_its_own_stream_only() {
     let server = Server::start().await;
     let (connection, buffered) = server.connect().await;
     let mut slow = connection.open(open("/slow", true)).unwrap().answer;
     let attempt = server.next().await;
-    let slow_sender = tokio::spawn(send(attempt.answer.send_head(complete()), LARGE_BODY_BYTES));
+    let slow_sender = tokio::spawn(send_body(
+        attempt.answer.send_head(complete()),
+        LARGE_BODY_BYTES,
+    ));
     slow.head().await.unwrap();
     eventually(|| buffered.now() == STREAM_WINDOW_BYTES).await;
 
     let mut fast = connection.open(open("/fast", true)).unwrap().answer;
     let attempt = server.next().await;
-    let fast_sender = tokio::spawn(send(attempt.answer.send_head(complete()), LARGE_BODY_BYTES));
+    let fast_sender = tokio::spawn(send_body(
+        attempt.answer.send_head(complete()),
+        LARGE_BODY_BYTES,
+    ));
     fast.head().await.unwrap();
-    assert_eq!(count(fast.into_body()).await, LARGE_BODY_BYTES);
+    assert_eq!(count_body_bytes(fast.into_body()).await, LARGE_BODY_BYTES);
     fast_sender.await.unwrap();
     assert!(buffered.peak() <= 2 * STREAM_WINDOW_BYTES);
 
     assert!(!slow_sender.is_finished());
-    assert_eq!(count(slow.into_body()).await, LARGE_BODY_BYTES);
+    assert_eq!(count_body_bytes(slow.into_body()).await, LARGE_BODY_BYTES);
     slow_sender.await.unwrap();
     assert_eq!(buffered.now(), 0);
 }
@@ -122,7 +137,7 @@
 }
 
 #[tokio::test]
-async fn answer_that_breaks_off_is_not_taken_for_whole() {
+async fn answer_that_ends_early_is_an_error() {
     let server = Server::start().await;
     let (connection, _) = server.connect().await;
     let mut answer = connection.open(open("/", true)).unwrap().answer;
@@ -136,7 +151,7 @@
 }
 
 #[tokio::test]
-async fn leaving_node_keeps_open_streams_and_takes_no_new_ones() {
+async fn leaving_node_finishes_open_streams_and_accepts_no_new_ones() {
     let server = Server::start().await;
     let (connection, _) = server.connect().await;
     let mut answer = connection.open(open("/last", true)).unwrap().answer;
@@ -146,6 +161,6 @@
     assert!(connection.open(open("/late", true)).is_err());
     answer_with_path(attempt).await;
     answer.head().await.unwrap();
-    assert_eq!(text(answer.into_body()).await, "/last");
+    assert_eq!(read_body_text(answer.into_body()).await, "/last");
     eventually(|| server.mux.open_connections() == 0).await;
 }
--- a/crates/transport/tests/support/mod.rs
+++ b/crates/transport/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes and raw peers on loopback.
+//! Test servers and raw protocol peers on the loopback interface.
 
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
@@ -19,7 +19,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 pub const LOOPBACK: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
-/// The node that connects; it listens nowhere.
+/// Id of the connecting node, which does not listen itself.
 pub const CLIENT: NodeId = NodeId::from_u64(1);
 
 pub fn node_of(address: SocketAddr) -> NodeId {
@@ -29,7 +29,7 @@
     }
 }
 
-/// A node that answers attempts.
+/// A node that accepts connections and attempts.
 pub struct Server {
     pub node: NodeId,
     pub mux: Arc<MuxServer>,
@@ -107,7 +107,7 @@
     }
 }
 
-/// The other end of a connection, frame by frame.
+/// One end of a connection that sends and receives single frames.
 pub struct RawPeer {
     pub socket: TcpStream,
     decoder: FrameDecoder,
@@ -119,7 +119,7 @@
         RawPeer { socket, decoder }
     }
 
-    /// Connects to a node and greets.
+    /// Connects to a node and exchanges hello frames.
     pub async fn connect(node: NodeId) -> RawPeer {
         let mut peer = RawPeer::new(TcpStream::connect(node.address()).await.unwrap());
         peer.greet(PROTOCOL_VERSION).await;
@@ -127,7 +127,7 @@
         peer
     }
 
-    /// Takes one connection and greets.
+    /// Accepts one connection and sends the hello frame.
     pub async fn accept(listener: &TcpListener) -> RawPeer {
         let mut peer = RawPeer::new(listener.accept().await.unwrap().0);
         peer.greet(PROTOCOL_VERSION).await;
@@ -145,7 +145,7 @@
         self.socket.write_all(&bytes).await.unwrap();
     }
 
-    /// The next frame; `None` when the node has closed the connection.
+    /// Waits for the next frame; returns `None` if the node has closed the connection.
     pub async fn next(&mut self) -> Option<Frame> {
         loop {
             if let Some(frame) = self.decoder.next_frame().unwrap() {
