--- a/crates/transport/src/mux/peers.rs
+++ b/crates/transport/src/mux/peers.rs
@@ -76,7 +76,7 @@
         Ok(connection)
     }
 
-    /// Returns the number of nodes to which a usable_connection connection exists.
+    /// Returns the number of nodes to which a usable connection exists.
     pub fn connected(&self) -> usize {
         let peers = lock(&self.peers);
         peers
