--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starting a node and stopping it as planned.
+//! Starting a node, and its planned stop.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,28 +32,29 @@
 
 /// How long a leaving node waits for other nodes to close their connections
 /// after the last call has ended.
-const GOODBYE_TIMEOUT: Duration = Duration::from_secs(2);
+const CONNECTION_CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longest wait for the handover of claims at a planned stop.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often it looks.
-const GOODBYE_POLL: Duration = Duration::from_millis(10);
-/// Connections to a back end before a table says how many there may be.
+/// Interval at which a planned stop checks whether connections are closed and
+/// claims handed over.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum number of connections to a local back end until a table sets it.
 const INITIAL_CONNECTIONS: usize = 1;
 
-/// Where a running node listens.
+/// The addresses at which a running node listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// Other nodes, TCP and UDP.
+    /// Address for other nodes, over TCP and UDP.
     pub node: NodeId,
-    /// Callers, HTTP.
+    /// Address for callers, over HTTP.
     pub callers: SocketAddr,
-    /// Operators, HTTP.
+    /// Address for operators, over HTTP.
     pub operators: SocketAddr,
 }
 
 impl Addresses {
-    /// Scripts wait for this record. It precedes everything that a running node
-    /// logs.
+    /// Logs the `listening` record, which scripts wait for. It is the first record
+    /// that a running node logs.
     fn log(&self, log: &Logger) {
         info!(log, "listening";
             "node" => %self.node,
@@ -85,28 +86,29 @@
             .thread_name("traffic")
             .enable_all()
             .build()
-            .context("traffic threads")?;
+            .context("failed to start the traffic threads")?;
         let sockets = runtime
             .block_on(NodeSockets::bind(settings.node))
-            .with_context(|| format!("node's port {}", settings.node))?;
+            .with_context(|| format!("failed to bind the node's port {}", settings.node))?;
         let callers = runtime
             .block_on(TcpListener::bind(settings.callers))
-            .with_context(|| format!("callers' port {}", settings.callers))?;
-        Starting::new(settings, log, runtime, sockets.node)?.run(sockets, callers)
+            .with_context(|| format!("failed to bind the callers' port {}", settings.callers))?;
+        NodeParts::new(settings, log, runtime, sockets.node)?.run(sockets, callers)
     }
 
-    /// Where the node listens.
+    /// The addresses at which the node listens.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Body bytes that are held for other nodes' calls.
+    /// The count of body bytes received from other nodes and not yet passed on.
     pub fn buffered(&self) -> &BufferedBytes {
         &self.buffered
     }
 
-    /// The planned stop: no new work, everything in progress is finished, at the
-    /// latest after the settings' time. True if nothing was cut.
+    /// Performs the planned stop: the node accepts no new work and finishes all
+    /// calls and attempts in progress, for at most the setting
+    /// `stop_timeout_seconds`. Returns whether all of them finished in time.
     pub fn stop(self) -> bool {
         info!(self.log, "stop_begun"; "in_progress" => self.traffic.in_progress.count());
         self.traffic.leave();
@@ -124,11 +126,12 @@
         nothing_cut
     }
 
-    /// Claims are handed to another node before the process ends.
+    /// Waits until this node's claims are handed over to another node, for at most
+    /// [`HANDOVER_TIMEOUT`].
     async fn finish_handover(&self) {
         let handed_over = timeout(HANDOVER_TIMEOUT, async {
             while self.traffic.control.is_handing_over().await {
-                tokio::time::sleep(GOODBYE_POLL).await;
+                tokio::time::sleep(STOP_POLL_INTERVAL).await;
             }
         });
         if handed_over.await.is_err() {
@@ -138,17 +141,17 @@
 
     async fn finish_calls(&self) -> bool {
         let finished = timeout(self.settings.stop_timeout, async {
-            self.traffic.in_progress.none().await;
+            self.traffic.in_progress.wait_until_zero().await;
             let _ = self.stop_callers.send(true);
             while !self.callers_ended.is_finished() {
-                tokio::time::sleep(GOODBYE_POLL).await;
+                tokio::time::sleep(STOP_POLL_INTERVAL).await;
             }
         })
         .await;
         self.mux.leave();
-        let _ = timeout(GOODBYE_TIMEOUT, async {
+        let _ = timeout(CONNECTION_CLOSE_TIMEOUT, async {
             while self.mux.open_connections() > 0 {
-                tokio::time::sleep(GOODBYE_POLL).await;
+                tokio::time::sleep(STOP_POLL_INTERVAL).await;
             }
         })
         .await;
@@ -156,8 +159,8 @@
     }
 }
 
-/// The parts of a node that are made before it runs.
-struct Starting {
+/// The parts of a node that are created before it starts to run.
+struct NodeParts {
     settings: Settings,
     log: Logger,
     runtime: Runtime,
@@ -171,10 +174,10 @@
     buffered: BufferedBytes,
 }
 
-impl Starting {
+impl NodeParts {
     fn new(settings: Settings, log: Logger, runtime: Runtime, node: NodeId) -> Result<Self> {
         let (control, inputs) = ControlHandle::channel();
-        Ok(Starting {
+        Ok(NodeParts {
             settings,
             log,
             runtime,
@@ -196,14 +199,14 @@
             callers: callers.local_addr()?,
             operators: operators.address(),
         };
-        let traffic = Arc::new(self.traffic());
+        let traffic = Arc::new(self.create_traffic());
         let mux = self.start_mux(&traffic, sockets.listener);
         self.start_datagrams(sockets.receiver);
         let (stop_callers, stop) = watch::channel(false);
         let server = CallerServer::new(traffic.clone(), self.settings.max_header_bytes, stop);
         let callers_ended = self.runtime.spawn(async move { server.run(callers).await });
         addresses.log(&self.log);
-        let node = self.decisions();
+        let node = self.create_decisions();
         let control_thread = self.start_control(node, sockets.sender)?;
         Ok(Daemon {
             addresses,
@@ -220,9 +223,10 @@
         })
     }
 
-    /// Without a roster the product refuses calls with an idempotency key, because
-    /// nothing would keep them from running twice. The baselines know no claims.
-    fn decisions(&self) -> Node {
+    /// Creates the decision logic. Without a roster the policy `lifthollow` refuses
+    /// calls with an idempotency key, because nothing would keep them from running
+    /// twice. The baseline policies without a roster have no claims.
+    fn create_decisions(&self) -> Node {
         let settings = self.node_settings();
         let (incarnation, seed) = (settings.incarnation, settings.seed);
         let node = Node::new(settings);
@@ -253,13 +257,13 @@
         OperatorsServer::start(self.settings.operators, state)
     }
 
-    fn traffic(&self) -> Traffic {
+    fn create_traffic(&self) -> Traffic {
         Traffic::new(TrafficParts {
             clock: self.clock,
             control: self.control.clone(),
             shared: self.shared.clone(),
             peers: PeerPool::new(self.node, self.buffered.clone()),
-            backends: self.backends(),
+            backends: self.create_backend_pools(),
             metrics: self.metrics.clone(),
             buffered_body_bytes: self.settings.buffered_body_bytes,
             side: self.settings.side,
@@ -267,7 +271,7 @@
         })
     }
 
-    fn backends(&self) -> BTreeMap<ServiceName, BackendPool> {
+    fn create_backend_pools(&self) -> BTreeMap<ServiceName, BackendPool> {
         let max_header_bytes = self.settings.max_header_bytes;
         let pool = |address| BackendPool::new(address, INITIAL_CONNECTIONS, max_header_bytes);
         let backends = self.settings.backends.iter();
@@ -334,7 +338,7 @@
         let seeds = settings.seed_nodes.iter().copied();
         NodeSettings {
             node: self.node,
-            incarnation: Incarnation(microseconds_of_wall_clock()),
+            incarnation: Incarnation(wall_clock_microseconds()),
             side: settings.side,
             zone: settings.zone,
             services: backends.map(|backend| backend.service.clone()).collect(),
@@ -345,8 +349,9 @@
     }
 }
 
-/// The wall clock is read once, at the start; it only orders lives of a node.
-fn microseconds_of_wall_clock() -> u64 {
+/// Reads the wall clock, in microseconds since the Unix epoch. It is read once, at
+/// the start, and only orders the incarnations of a node.
+fn wall_clock_microseconds() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.map_or(0, |passed| passed.as_micros() as u64)
 }
--- a/crates/daemon/src/datagrams.rs
+++ b/crates/daemon/src/datagrams.rs
@@ -1,4 +1,4 @@
-//! Passing received control messages on to the control thread.
+//! Forwards received control messages to the control thread.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::control::ControlHandle;
 use crate::operators::Metrics;
 
-/// Receives datagrams as long as the process runs.
+/// Receives control datagrams as long as the process runs.
 pub async fn receive_datagrams(
     receiver: DatagramReceiver,
     control: ControlHandle,
@@ -21,7 +21,8 @@
                 control.fleet(FleetEvent::Message { from, message });
             }
             Ok(Received::Malformed { .. }) => metrics.datagram_received(false),
-            // An earlier datagram met a closed port; the socket itself is well.
+            // The error reports that an earlier datagram reached a closed port; the
+            // socket itself still works.
             Err(_) => {}
         }
     }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,10 +1,11 @@
 //! The parts of `lifthollowd`, one lifthollow node.
 //!
-//! - [`settings`]: what the operator sets;
+//! - [`settings`]: the operator's settings;
 //! - [`daemon`]: starting and stopping a node;
-//! - [`control`]: the thread that owns the decisions;
-//! - [`traffic`]: calls and attempts on their way through the node;
-//! - [`platform`], [`machines`]: what the platform's service says;
+//! - [`control`]: the thread that makes the decisions;
+//! - [`traffic`]: calls and attempts that pass through the node;
+//! - [`platform`], [`machines`]: the table and the list of machines, read from
+//!   the platform's service;
 //! - [`operators`]: metrics, status and recent refusals.
 
 pub mod control;
--- a/crates/daemon/src/machines.rs
+++ b/crates/daemon/src/machines.rs
@@ -1,4 +1,4 @@
-//! The platform's list of machines: CSV with the header
+//! Parsing the platform's list of machines: CSV with the header
 //! `address,service,side,zone,state`.
 
 use std::net::SocketAddrV4;
@@ -11,7 +11,7 @@
 
 const HEADER: [&str; 5] = ["address", "service", "side", "zone", "state"];
 
-/// Reads the whole list; every fault is reported with its place.
+/// Parses the list of machines; every fault is reported with its row and column.
 pub fn parse(file_name: &str, bytes: &[u8]) -> Result<Vec<Machine>, Findings> {
     let mut reader = RowReader {
         file: Arc::from(file_name),
@@ -26,9 +26,9 @@
     for (index, record) in records.records().enumerate() {
         let row = index + 1;
         match record {
-            Ok(record) if index == 0 => reader.header(&record),
-            Ok(record) => machines.extend(reader.machine(row, &record)),
-            Err(error) => reader.fault(row, 1, error.to_string()),
+            Ok(record) if index == 0 => reader.check_header(&record),
+            Ok(record) => machines.extend(reader.read_machine(row, &record)),
+            Err(error) => reader.add_fault(row, 1, error.to_string()),
         }
     }
     if reader.findings.is_empty() {
@@ -43,22 +43,22 @@
 }
 
 impl RowReader {
-    fn fault(&mut self, row: usize, column: usize, message: String) {
+    fn add_fault(&mut self, row: usize, column: usize, message: String) {
         let place = Place::cell(&self.file, row, column);
         self.findings.add(place, message);
     }
 
-    fn header(&mut self, record: &csv::StringRecord) {
+    fn check_header(&mut self, record: &csv::StringRecord) {
         if record.iter().ne(HEADER) {
             let expected = HEADER.join(",");
-            self.fault(1, 1, format!("the header must be `{expected}`"));
+            self.add_fault(1, 1, format!("the header must be `{expected}`"));
         }
     }
 
-    fn machine(&mut self, row: usize, record: &csv::StringRecord) -> Option<Machine> {
+    fn read_machine(&mut self, row: usize, record: &csv::StringRecord) -> Option<Machine> {
         if record.len() != HEADER.len() {
             let message = format!("{} cells in place of {}", record.len(), HEADER.len());
-            self.fault(row, 1, message);
+            self.add_fault(row, 1, message);
             return None;
         }
         let cell = |column: usize| (column + 1, record.get(column).unwrap_or_default());
@@ -83,7 +83,7 @@
         read: fn(&str) -> Result<T, String>,
     ) -> Option<T> {
         read(text)
-            .map_err(|message| self.fault(row, column, message))
+            .map_err(|message| self.add_fault(row, column, message))
             .ok()
     }
 }
--- a/crates/daemon/src/node_sockets.rs
+++ b/crates/daemon/src/node_sockets.rs
@@ -8,18 +8,19 @@
 use lifthollow_state::NodeId;
 use lifthollow_transport::datagram::{self, DatagramReceiver, DatagramSender};
 
-/// Tries to find a port that is free for both, if the system is to choose.
+/// Maximum number of attempts to find a port that is free for both TCP and UDP,
+/// if the system chooses the port.
 const MAX_TRIES: usize = 16;
 
-/// The bound sockets.
+/// The bound TCP and UDP sockets for other nodes.
 pub struct NodeSockets {
-    /// The node's address, with the port that was chosen.
+    /// The node's address, with the port that the system chose if the setting was 0.
     pub node: NodeId,
-    /// Takes connections.
+    /// Accepts TCP connections from other nodes.
     pub listener: TcpListener,
-    /// Sends datagrams.
+    /// Sends control datagrams.
     pub sender: DatagramSender,
-    /// Receives datagrams.
+    /// Receives control datagrams.
     pub receiver: DatagramReceiver,
 }
 
@@ -42,7 +43,9 @@
     async fn try_bind(address: SocketAddrV4) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let SocketAddr::V4(bound) = listener.local_addr()? else {
-            return Err(io::Error::other("an IPv4 listener has an IPv6 address"));
+            return Err(io::Error::other(
+                "the listener bound to an IPv4 address reports an IPv6 address",
+            ));
         };
         let (sender, receiver) = datagram::bind(bound)?;
         Ok(NodeSockets {
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,6 +1,7 @@
 //! Reading the platform's service: the table and the list of machines.
 //!
-//! One thread does it, so that a slow or dead service holds up nothing else.
+//! A separate thread reads them, so that a slow or unreachable service delays
+//! nothing else.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,12 +17,12 @@
 use crate::machines;
 use crate::operators::Metrics;
 
-/// Longest time for one read of the platform's service.
+/// Timeout of one request to the platform's service.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest answer that is read.
+/// Largest answer of the platform's service that is read.
 const MAX_ANSWER_BYTES: u64 = 8 * 1024 * 1024;
 
-/// What the control thread wants read.
+/// A request of the control thread to read the platform's service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlatformRequest {
     /// `GET /table`.
@@ -30,7 +31,7 @@
     Machines,
 }
 
-/// Why an answer of the platform's service was not taken.
+/// Why the platform's service was not read or its answer was refused.
 #[derive(Debug, thiserror::Error)]
 enum FetchError {
     #[error("no address is set")]
@@ -43,34 +44,35 @@
 
 /// Reads the platform's service when asked to.
 pub struct PlatformReader {
-    /// Where the table is.
+    /// Address of the service that answers `GET /table`.
     pub table: Option<SocketAddr>,
-    /// Where the list of machines is.
+    /// Address of the service that answers `GET /machines`.
     pub machines: Option<SocketAddr>,
-    /// Where the last fault is posted.
+    /// Shared state to which the last fault of the table is posted.
     pub shared: Arc<SharedState>,
-    /// Where results go.
+    /// The control thread, which receives the results.
     pub control: ControlHandle,
-    /// Counters.
+    /// The node's metrics.
     pub metrics: Arc<Metrics>,
-    /// The log.
+    /// The node's logger.
     pub log: Logger,
 }
 
 impl PlatformReader {
     /// Serves requests until the channel is closed.
     pub fn run(self, requests: flume::Receiver<PlatformRequest>) {
-        let agent = agent();
+        let agent = http_client();
         while let Ok(request) = requests.recv() {
             match request {
-                PlatformRequest::Table => self.table(&agent),
-                PlatformRequest::Machines => self.machines(&agent),
+                PlatformRequest::Table => self.update_table(&agent),
+                PlatformRequest::Machines => self.update_machines(&agent),
             }
         }
     }
 
-    /// A bad table is refused whole; its findings are logged once.
-    fn table(&self, agent: &Agent) {
+    /// Fetches the table and reports the result to the control thread. A table with
+    /// any fault is refused as a whole; the same fault is not logged again.
+    fn update_table(&self, agent: &Agent) {
         let fetched = self.fetch_table(agent);
         self.metrics.fetched("table", fetched.is_ok());
         let fault = fetched.as_ref().err().map(FetchError::to_string);
@@ -101,7 +103,7 @@
         Ok(table::parse("table", &bytes)?)
     }
 
-    fn machines(&self, agent: &Agent) {
+    fn update_machines(&self, agent: &Agent) {
         let fetched = self.fetch_machines(agent);
         self.metrics.fetched("machines", fetched.is_ok());
         if let Err(error) = &fetched {
@@ -118,8 +120,9 @@
     }
 }
 
-/// The platform is named by address; a proxy of the environment is not asked.
-fn agent() -> Agent {
+/// Creates the HTTP client. The platform's service is configured by address, so
+/// proxy settings of the environment are ignored.
+fn http_client() -> Agent {
     Agent::config_builder()
         .timeout_global(Some(FETCH_TIMEOUT))
         .proxy(None)
@@ -127,8 +130,8 @@
         .into()
 }
 
-fn fetch(agent: &Agent, address: SocketAddr, what: &str) -> Result<Vec<u8>, ureq::Error> {
-    let url = format!("http://{address}/{what}");
+fn fetch(agent: &Agent, address: SocketAddr, resource: &str) -> Result<Vec<u8>, ureq::Error> {
+    let url = format!("http://{address}/{resource}");
     let mut answer = agent.get(url).call()?;
     answer
         .body_mut()
