--- a/crates/daemon/src/operators/claims.rs
+++ b/crates/daemon/src/operators/claims.rs
@@ -1,4 +1,4 @@
-//! What a node knows of an idempotency key, for operators.
+//! Status page of one idempotency key, for operators.
 
 use lifthollow_coordination::claims::KeyReport;
 use lifthollow_coordination::claims::record::{Record, RecordState};
@@ -6,7 +6,8 @@
 use lifthollow_protocol::operators::{ClaimRecord, ClaimStatus};
 use lifthollow_state::{NodeId, Timestamp};
 
-/// The page on one key, from what the control thread reported at `now`.
+/// Builds the status page of one key from the report that the control thread made
+/// at `now`.
 pub fn claim_status(now: Timestamp, service: &str, key: &str, report: &KeyReport) -> ClaimStatus {
     ClaimStatus {
         service: service.to_owned(),
--- a/crates/daemon/src/operators/metrics.rs
+++ b/crates/daemon/src/operators/metrics.rs
@@ -12,7 +12,7 @@
 use lifthollow_protocol::operators::{EdgeStatus, NodeStatus};
 use lifthollow_state::ServiceName;
 
-/// Upper bounds of the call duration's buckets, seconds.
+/// Upper bounds of the buckets of the call duration histogram, seconds.
 const DURATION_BUCKETS: [f64; 12] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0,
 ];
@@ -33,7 +33,7 @@
 }
 
 impl Metrics {
-    /// Metrics that are all zero.
+    /// Registers all metrics, with the value zero.
     pub fn new() -> Result<Self> {
         let registry = Registry::new();
         let metrics = Metrics {
@@ -110,7 +110,7 @@
         Ok(())
     }
 
-    /// A caller was answered.
+    /// Counts a call that was answered, and records its duration.
     pub fn answered(&self, service: &ServiceName, outcome: &str, duration: Duration) {
         self.calls
             .with_label_values(&[service.as_str(), outcome])
@@ -120,32 +120,33 @@
             .observe(duration.as_secs_f64());
     }
 
-    /// The node refused a call or an attempt.
+    /// Counts a call or an attempt that the node refused.
     pub fn refused(&self, service: &ServiceName, place: &str, reason: RefusalReason) {
         self.refusals
             .with_label_values(&[service.as_str(), place, reason.as_str()])
             .inc();
     }
 
-    /// A control datagram was sent, or could not be.
+    /// Counts a control datagram that was sent or failed to be sent.
     pub fn datagram_sent(&self, sent: bool) {
         let fate = if sent { "ok" } else { "failed" };
         self.datagrams.with_label_values(&["out", fate]).inc();
     }
 
-    /// A control datagram came in.
+    /// Counts a received control datagram.
     pub fn datagram_received(&self, well_formed: bool) {
         let fate = if well_formed { "ok" } else { "malformed" };
         self.datagrams.with_label_values(&["in", fate]).inc();
     }
 
-    /// The platform's service was read, or could not be.
+    /// Counts a read of the platform's service.
     pub fn fetched(&self, what: &str, succeeded: bool) {
         let fate = if succeeded { "ok" } else { "failed" };
         self.fetches.with_label_values(&[what, fate]).inc();
     }
 
-    /// The metrics as Prometheus text, with gauges from the posted state.
+    /// Renders the metrics as Prometheus text; gauges are set from `status` and
+    /// `buffered_bytes`.
     pub fn render(&self, status: &NodeStatus, buffered_bytes: usize) -> Result<String> {
         self.table_number.set(status.table_number as i64);
         self.buffered_body_bytes.set(buffered_bytes as i64);
--- a/crates/daemon/src/operators/mod.rs
+++ b/crates/daemon/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! What operators see: metrics, status and recent refusals, over HTTP.
+//! Metrics, status and recent refusals for operators, over HTTP.
 
 mod claims;
 mod metrics;
--- a/crates/daemon/src/operators/refusals.rs
+++ b/crates/daemon/src/operators/refusals.rs
@@ -1,4 +1,4 @@
-//! The recent refusals of this node, each with the state that caused it.
+//! The recent refusals of this node, each with the state that led to it.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
@@ -8,10 +8,10 @@
 use lifthollow_protocol::operators::{Refusal, RefusalState};
 use lifthollow_state::{RequestId, ServerState, ServiceName};
 
-/// Refusals that are kept; older ones are forgotten.
+/// Maximum number of refusals that are kept; the oldest are dropped first.
 const MAX_REFUSALS: usize = 1024;
 
-/// What the caller's side knew of the servers.
+/// The servers of `service` by state, as the refusing outbound side sees them.
 pub fn state_of_servers(view: &View, service: &ServiceName) -> RefusalState {
     let servers = view.directory.servers(service);
     let count = |state| {
@@ -26,7 +26,7 @@
     }
 }
 
-/// The load beside this node.
+/// The load of this node's local back end, as the state of an inbound refusal.
 pub fn state_of_load(load: LoadReport) -> RefusalState {
     RefusalState::Inbound {
         in_flight: load.in_flight,
@@ -37,14 +37,14 @@
     }
 }
 
-/// A bounded list of refusals.
+/// A bounded list of the most recent refusals.
 #[derive(Debug, Default)]
 pub struct RefusalLog {
     refusals: Mutex<VecDeque<Refusal>>,
 }
 
 impl RefusalLog {
-    /// Adds one; the oldest is forgotten if there are too many.
+    /// Adds a refusal; the oldest one is dropped if the list is full.
     pub fn add(&self, refusal: Refusal) {
         let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
         if refusals.len() == MAX_REFUSALS {
@@ -53,8 +53,9 @@
         refusals.push_back(refusal);
     }
 
-    /// Those of a service, or of a request given by its client's name or in
-    /// hexadecimal; the newest first.
+    /// Returns the refusals that match a service and a request, newest first; `None`
+    /// matches all. The request is given as the client's name for it or as its
+    /// request ID in hexadecimal.
     pub fn find(&self, service: Option<&str>, request: Option<&str>) -> Vec<Refusal> {
         let named = request.map(|name| format!("{:032x}", RequestId::from_name(name).0));
         let matches = |refusal: &&Refusal| {
--- a/crates/daemon/src/operators/server.rs
+++ b/crates/daemon/src/operators/server.rs
@@ -1,5 +1,5 @@
 //! The operators' HTTP port. It reads posted state, and asks the control thread
-//! for the members; it never makes that thread wait.
+//! for the members and for keys; it never blocks that thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,31 +21,31 @@
 use crate::operators::{Metrics, RefusalLog};
 use lifthollow_transport::clock::Clock;
 
-/// How often the server looks whether it shall stop.
+/// Interval at which the server checks whether it has been told to stop.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How long the control thread may take to answer.
+/// Longest wait for an answer of the control thread.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Threads that answer operators.
+/// Number of threads that answer operators' requests.
 const THREADS: usize = 2;
 
-/// What the operators' pages are made from.
+/// The state from which the operators' pages are built.
 #[derive(Clone)]
 pub struct OperatorsState {
     /// State posted by the control thread.
     pub shared: Arc<SharedState>,
-    /// Where the members are asked for.
+    /// The control thread, which is asked for members and keys.
     pub control: ControlHandle,
     /// The process's clock.
     pub clock: Clock,
-    /// Recent refusals.
+    /// Recent refusals of this node.
     pub refusals: Arc<RefusalLog>,
-    /// Counters.
+    /// The node's metrics.
     pub metrics: Arc<Metrics>,
-    /// Body bytes held.
+    /// Body bytes received from other nodes and not yet passed on.
     pub buffered: BufferedBytes,
 }
 
-/// The running server.
+/// The running HTTP server for operators.
 pub struct OperatorsServer {
     address: SocketAddr,
     stop: Arc<AtomicBool>,
@@ -56,7 +56,7 @@
     /// Binds the port and serves it on a thread of its own.
     pub fn start(address: SocketAddr, state: OperatorsState) -> Result<Self> {
         let server = Server::new(address, move |request| answer(request, &state))
-            .map_err(|error| anyhow!("operators' port {address}: {error}"))?
+            .map_err(|error| anyhow!("failed to bind the operators' port {address}: {error}"))?
             .pool_size(THREADS);
         let address = server.server_addr();
         let stop = Arc::new(AtomicBool::new(false));
@@ -75,12 +75,12 @@
         })
     }
 
-    /// Where it listens.
+    /// The address at which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops serving.
+    /// Stops the server and waits for its thread.
     pub fn stop(self) {
         self.stop.store(true, Ordering::Release);
         let _ = self.thread.join();
@@ -108,7 +108,8 @@
     }
 }
 
-/// Asks the control thread, since the list is too long to be posted often.
+/// Lists the members. The control thread is asked for them, because the list is too
+/// long to be posted regularly.
 fn members(state: &OperatorsState) -> Response {
     match state.control.members(CONTROL_TIMEOUT) {
         Some(members) => Response::json(&Members { members }),
@@ -127,8 +128,8 @@
     }
 }
 
-/// What this node knows of a key. Nodes without a roster know nothing.
-/// Service and key are parameters, so that a key may be any text.
+/// Reports the claim on an idempotency key. Nodes without a roster have none.
+/// Service and key are query parameters, so that a key may be any text.
 fn claim(request: &Request, state: &OperatorsState) -> Response {
     let (Some(service), Some(key)) = (request.get_param("service"), request.get_param("key"))
     else {
@@ -148,7 +149,7 @@
     Response::text("the control thread does not answer").with_status_code(503)
 }
 
-/// Whether the node is leaving and what it still carries.
+/// Whether the node is leaving, and its calls and attempts still in progress.
 fn leaving(status: &NodeStatus) -> LeavingStatus {
     LeavingStatus {
         leaving: status.leaving,
@@ -157,7 +158,7 @@
     }
 }
 
-/// Why a service or a request was refused on this node.
+/// The recent refusals of a service or a request on this node.
 fn explanation(request: &Request, state: &OperatorsState) -> Explanation {
     let service = request.get_param("service");
     let name = request.get_param("request");
