--- a/crates/daemon/src/control/input.rs
+++ b/crates/daemon/src/control/input.rs
@@ -1,4 +1,5 @@
-//! What the control thread is told, and what it tells the tasks of calls.
+//! Messages to the control thread, and effects that it sends to the tasks of
+//! attempts.
 
 use std::time::Duration;
 
@@ -13,74 +14,74 @@
 /// A message to the control thread.
 #[derive(Debug)]
 pub enum ControlInput {
-    /// A caller makes a call.
+    /// A local caller made a call.
     CallArrived {
-        /// Its number.
+        /// ID of the call.
         id: CallId,
-        /// The call.
+        /// Description of the call.
         description: Box<Call>,
-        /// Where the effects for the call go.
+        /// Channel for the effects of the call.
         effects: flume::Sender<OutboundEffect>,
     },
-    /// Another node sends an attempt.
+    /// Another node sent an attempt.
     AttemptArrived {
-        /// Its number.
+        /// ID of the attempt on this node.
         id: InboundId,
-        /// The attempt.
+        /// Description of the attempt.
         attempt: Box<Attempt>,
-        /// Where the effects for the attempt go.
+        /// Channel for the effects of the attempt.
         effects: flume::Sender<AttemptEffect>,
     },
-    /// Something else happened.
+    /// Any other event of the node.
     Event(NodeEvent),
-    /// An operator asks what the node knows of a key.
+    /// An operator asked for the claim on an idempotency key.
     KeyAsked {
-        /// The key.
+        /// The idempotency key.
         key: IdempotencyKey,
-        /// Where the answer goes; none if the node claims no keys.
+        /// Channel for the answer, which is `None` if the node claims no keys.
         reply: flume::Sender<Option<KeyReport>>,
     },
-    /// A planned stop asks whether claims are yet to be handed over.
+    /// A planned stop asked whether claims remain to be handed over.
     HandoverAsked {
-        /// Where the answer goes.
+        /// Channel for the answer.
         reply: flume::Sender<bool>,
     },
-    /// The task of an attempt wants no more effects than those decided so far.
+    /// The task of an attempt needs no further effects beyond those decided so far.
     AttemptReleased {
-        /// The attempt.
+        /// ID of the attempt on this node.
         id: InboundId,
     },
-    /// An operator wants to see all members.
+    /// An operator asked for all members.
     MembersAsked {
-        /// Where they go.
+        /// Channel for the list of members.
         reply: flume::Sender<Vec<KnownMember>>,
     },
-    /// A planned stop begins.
+    /// A planned stop began.
     Leave,
-    /// The thread ends.
+    /// The control thread must end.
     Stop,
 }
 
-/// What the control thread wants done for an attempt of another node.
+/// An effect that the task of an attempt from another node carries out.
 #[derive(Clone, Debug)]
 pub enum AttemptEffect {
-    /// Run it on the back end.
+    /// Run the attempt on the local back end.
     Run {
-        /// When the back end should give up.
+        /// Time at which the back end should give up.
         deadline: Timestamp,
-        /// A run under a claim must not start from here on.
+        /// A run under a claim must start before this time; `None` without a claim.
         start_before: Option<Timestamp>,
     },
     /// Answer the caller's node with the answer recorded when the call ran.
     Replay {
-        /// The answer.
+        /// The recorded answer.
         answer: RecordedAnswer,
         /// The load of this node.
         load: LoadReport,
         /// Retries lent with the attempt that were not spent.
         unspent: RetryAllowance,
     },
-    /// Answer the caller's node.
+    /// Send this result to the caller's node.
     Answer {
         /// How the attempt ended.
         result: AttemptResult,
@@ -89,7 +90,7 @@
         /// Retries lent with the attempt that were not spent.
         unspent: RetryAllowance,
     },
-    /// Tell the back end to give up.
+    /// Cancel the run on the back end.
     CancelRun,
 }
 
@@ -98,7 +99,7 @@
 pub struct ControlHandle(flume::Sender<ControlInput>);
 
 impl ControlHandle {
-    /// A handle and the channel's other end.
+    /// Creates a handle and the receiving end of its channel.
     pub fn channel() -> (ControlHandle, flume::Receiver<ControlInput>) {
         let (sender, receiver) = flume::unbounded();
         (ControlHandle(sender), receiver)
@@ -110,22 +111,22 @@
         let _ = self.0.send(input);
     }
 
-    /// Asks for all members; none if the control thread doesn't answer in time.
+    /// Asks for all members; `None` if the control thread doesn't answer in time.
     pub fn members(&self, timeout: Duration) -> Option<Vec<KnownMember>> {
         let (reply, answer) = flume::bounded(1);
         self.send(ControlInput::MembersAsked { reply });
         answer.recv_timeout(timeout).ok()
     }
 
-    /// Asks what the node knows of a key; none if it claims no keys or doesn't
-    /// answer in time.
+    /// Asks for the claim on an idempotency key; `None` if the node claims no keys or
+    /// the control thread doesn't answer in time.
     pub fn key_report(&self, key: IdempotencyKey, timeout: Duration) -> Option<KeyReport> {
         let (reply, answer) = flume::bounded(1);
         self.send(ControlInput::KeyAsked { key, reply });
         answer.recv_timeout(timeout).ok().flatten()
     }
 
-    /// Asks whether claims are yet to be handed over.
+    /// Asks whether claims remain to be handed over.
     pub async fn is_handing_over(&self) -> bool {
         let (reply, answer) = flume::bounded(1);
         self.send(ControlInput::HandoverAsked { reply });
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -1,8 +1,8 @@
-//! The control thread: the only owner of the node's decisions.
+//! The control thread, which alone owns the state of the node's decisions.
 //!
 //! Events come in over one channel; effects go out to the tasks that carry
-//! them out. The thread does no I/O but to send datagrams, and never waits for
-//! anything but its channel.
+//! them out. Its only I/O is sending datagrams, and it waits for nothing but its
+//! channel.
 
 mod input;
 mod router;
--- a/crates/daemon/src/control/router.rs
+++ b/crates/daemon/src/control/router.rs
@@ -1,4 +1,4 @@
-//! Which task carries out the effects for which call or attempt.
+//! Routes effects to the tasks of the calls and attempts that they belong to.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
     inbound: BTreeMap<InboundId, InboundRoute>,
 }
 
-/// What a call or an attempt is about.
+/// The service and request of a call or an attempt.
 #[derive(Clone, Debug)]
 pub(super) struct Subject {
     pub(super) service: ServiceName,
@@ -62,7 +62,7 @@
         self.calls.get(&id).map(|route| &route.subject)
     }
 
-    /// Hands an effect to the task of its call.
+    /// Sends an effect to the task of its call.
     pub(super) fn route_call(&mut self, effect: OutboundEffect) {
         match effect {
             OutboundEffect::Dispatch { call, attempt, .. } => {
@@ -107,14 +107,14 @@
         self.inbound.get(&id).map(|route| &route.subject)
     }
 
-    /// Hands an effect to the task of its attempt.
+    /// Sends an effect to the task of its attempt.
     pub(super) fn route_inbound(&self, id: InboundId, effect: AttemptEffect) {
         if let Some(route) = self.inbound.get(&id) {
             let _ = route.effects.send(effect);
         }
     }
 
-    /// Calls in progress.
+    /// Number of calls in progress.
     pub(super) fn calls(&self) -> usize {
         self.calls.len()
     }
--- a/crates/daemon/src/control/snapshot.rs
+++ b/crates/daemon/src/control/snapshot.rs
@@ -1,4 +1,4 @@
-//! What other threads may read of the control thread's state.
+//! Copies of the control thread's state, posted for other threads to read.
 
 use std::sync::{Arc, PoisonError, RwLock};
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use lifthollow_state::{ServerState, ServiceName, TableVersion, Timestamp};
 
 /// State posted by the control thread and by the reader of the platform's
-/// service. Readers never make them wait.
+/// service. Readers hold the locks only to copy, so they don't delay these threads.
 #[derive(Debug, Default)]
 pub struct SharedState {
     view: RwLock<View>,
@@ -18,13 +18,13 @@
 }
 
 impl SharedState {
-    /// The table in force and the servers known.
+    /// The table in force and the known servers.
     pub fn view(&self) -> View {
         let view = self.view.read().unwrap_or_else(PoisonError::into_inner);
         view.clone()
     }
 
-    /// The last posted status, with the last fault of the table.
+    /// The last posted status, with the fault of the last table fetch, if any.
     pub fn status(&self) -> NodeStatus {
         let status = self.status.read();
         let status = status.unwrap_or_else(PoisonError::into_inner).clone();
@@ -34,13 +34,15 @@
         }
     }
 
-    /// Why the platform's last answer for the table was not taken, if it was not.
+    /// Why the last fetch of the platform's table failed or its table was refused;
+    /// `None` if it was accepted.
     pub fn table_fault(&self) -> Option<String> {
         let fault = self.table_fault.read();
         fault.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The platform's service was read; `fault` says why its table was not taken.
+    /// Posts the result of a fetch of the platform's table: the fault, or `None` if
+    /// the table was accepted.
     pub fn post_table_fault(&self, fault: Option<String>) {
         let posted = self.table_fault.write();
         *posted.unwrap_or_else(PoisonError::into_inner) = fault;
@@ -56,7 +58,7 @@
     }
 }
 
-/// The node in short. Its cost does not grow with the members.
+/// Summarizes the node's state. The cost does not depend on the number of members.
 pub(super) fn status(node: &Node, now: Timestamp, calls: usize, leaving: bool) -> NodeStatus {
     let settings = node.settings();
     let version = node.view().table.version();
@@ -102,14 +104,16 @@
     services.map(|(_, servers)| servers.len()).sum()
 }
 
-/// All members with what is known of each. Its cost grows with the members, so
-/// it is made only when an operator asks.
+/// Lists all members with their known state. The cost grows with the number of
+/// members, so the list is built only when an operator asks for it.
 pub(super) fn members(node: &Node, now: Timestamp) -> Vec<KnownMember> {
     let members = node.fleet().members();
-    members.map(|member| known(node, member, now)).collect()
+    members
+        .map(|member| describe_member(node, member, now))
+        .collect()
 }
 
-fn known(node: &Node, member: &Member, now: Timestamp) -> KnownMember {
+fn describe_member(node: &Node, member: &Member, now: Timestamp) -> KnownMember {
     let record = &member.record;
     let seconds_since = |then: Timestamp| now.saturating_since(then).as_secs_f64();
     let is_self = record.node == node.settings().node;
@@ -124,7 +128,7 @@
         zone: record.zone.0,
         services: record.services.iter().map(ServiceName::to_string).collect(),
         status: record.status.as_str().to_owned(),
-        listing: listing_word(member.listing).to_owned(),
+        listing: listing_name(member.listing).to_owned(),
         use_as: use_as(node.view(), member),
         heard_seconds_ago: match is_self {
             true => Some(Duration::ZERO.as_secs_f64()),
@@ -136,7 +140,7 @@
     }
 }
 
-/// What decisions make of a member, by the first of its services.
+/// The state in which decisions treat a member, by the first of its services.
 fn use_as(view: &View, member: &Member) -> Option<String> {
     let service = member.record.services.first()?;
     let server = view.directory.server(service, member.record.node)?;
@@ -167,7 +171,7 @@
         .collect()
 }
 
-fn listing_word(listing: Listing) -> &'static str {
+fn listing_name(listing: Listing) -> &'static str {
     match listing {
         Listing::Never => "never",
         Listing::Live => "live",
--- a/crates/daemon/src/control/thread.rs
+++ b/crates/daemon/src/control/thread.rs
@@ -21,28 +21,28 @@
 use crate::platform::PlatformRequest;
 use lifthollow_transport::clock::Clock;
 
-/// How often the node's status is posted for operators.
+/// Interval at which the node's status is posted for operators.
 const STATUS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What the control thread works with.
+/// The parts from which a [`ControlThread`] is created.
 pub struct ControlParts {
-    /// The decisions.
+    /// The node's decision logic.
     pub node: Node,
     /// The process's clock.
     pub clock: Clock,
-    /// Where messages come in.
+    /// Channel of incoming messages.
     pub inputs: flume::Receiver<ControlInput>,
-    /// Where datagrams go out.
+    /// Socket for outgoing datagrams.
     pub socket: DatagramSender,
-    /// Where the platform's thread is asked to read something.
+    /// Channel for requests to the thread that reads the platform's service.
     pub platform: flume::Sender<PlatformRequest>,
-    /// Where state is posted.
+    /// State posted for other threads.
     pub shared: Arc<SharedState>,
     /// Recent refusals, for operators.
     pub refusals: Arc<RefusalLog>,
-    /// Counters.
+    /// The node's metrics.
     pub metrics: Arc<Metrics>,
-    /// The log.
+    /// The node's logger.
     pub log: Logger,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl ControlThread {
-    /// A control thread that has handled nothing yet.
+    /// Creates a control thread that has handled no messages yet.
     pub fn new(parts: ControlParts) -> Self {
         ControlThread {
             parts,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Handles messages until told to stop.
+    /// Handles messages until [`ControlInput::Stop`] arrives.
     pub fn run(mut self) {
         self.handle(NodeEvent::Wake);
         loop {
@@ -77,13 +77,13 @@
             let wake = self.parts.clock.instant(wake);
             match self.parts.inputs.recv_deadline(wake) {
                 Ok(ControlInput::Stop) | Err(RecvTimeoutError::Disconnected) => return,
-                Ok(input) => self.take_in(input),
+                Ok(input) => self.handle_input(input),
                 Err(RecvTimeoutError::Timeout) => self.handle(NodeEvent::Wake),
             }
         }
     }
 
-    fn take_in(&mut self, input: ControlInput) {
+    fn handle_input(&mut self, input: ControlInput) {
         match input {
             ControlInput::CallArrived {
                 id,
@@ -117,7 +117,7 @@
                     attempt,
                 }));
             }
-            ControlInput::Event(event) => self.take_in_event(event),
+            ControlInput::Event(event) => self.handle_input_event(event),
             ControlInput::AttemptReleased { id } => self.router.remove_inbound(id),
             ControlInput::KeyAsked { key, reply } => {
                 let now = self.parts.clock.now();
@@ -126,14 +126,15 @@
             ControlInput::HandoverAsked { reply } => {
                 let _ = reply.send(self.parts.node.is_handing_over());
             }
-            ControlInput::MembersAsked { reply } => self.tell_members(&reply),
+            ControlInput::MembersAsked { reply } => self.send_members(&reply),
             ControlInput::Leave => self.leave(),
             ControlInput::Stop => {}
         }
     }
 
-    /// An event that is the last one of its call or attempt ends the route too.
-    fn take_in_event(&mut self, event: NodeEvent) {
+    /// Handles an event. The last event of a call or an attempt also removes its
+    /// route.
+    fn handle_input_event(&mut self, event: NodeEvent) {
         let cancelled_call = match &event {
             NodeEvent::Outbound(OutboundEvent::CallCancelled { call }) => Some(*call),
             _ => None,
@@ -171,20 +172,20 @@
             self.parts.shared.post_view(view.clone());
         }
         for effect in effects.drain(..) {
-            self.carry_out(now, effect);
+            self.execute_effect(now, effect);
         }
         self.effects = effects;
     }
 
-    fn carry_out(&mut self, now: Timestamp, effect: NodeEffect) {
+    fn execute_effect(&mut self, now: Timestamp, effect: NodeEffect) {
         match effect {
-            NodeEffect::Outbound(effect) => self.carry_out_outbound(now, effect),
-            NodeEffect::Inbound(effect) => self.carry_out_inbound(now, effect),
-            NodeEffect::Fleet(effect) => self.carry_out_fleet(effect),
+            NodeEffect::Outbound(effect) => self.execute_outbound_effect(now, effect),
+            NodeEffect::Inbound(effect) => self.execute_inbound_effect(now, effect),
+            NodeEffect::Fleet(effect) => self.execute_fleet_effect(effect),
         }
     }
 
-    fn carry_out_outbound(&mut self, now: Timestamp, effect: OutboundEffect) {
+    fn execute_outbound_effect(&mut self, now: Timestamp, effect: OutboundEffect) {
         if let OutboundEffect::Answer { call, answer, .. } = &effect {
             self.record_call_refusal(now, *call, answer);
         }
@@ -226,7 +227,7 @@
         });
     }
 
-    fn carry_out_inbound(&mut self, now: Timestamp, effect: InboundEffect) {
+    fn execute_inbound_effect(&mut self, now: Timestamp, effect: InboundEffect) {
         match effect {
             InboundEffect::Run { id, deadline } => self.run_attempt(id, deadline, None),
             InboundEffect::RunClaimed {
@@ -279,7 +280,7 @@
         self.router.route_inbound(id, effect);
     }
 
-    fn carry_out_fleet(&mut self, effect: FleetEffect) {
+    fn execute_fleet_effect(&mut self, effect: FleetEffect) {
         match effect {
             FleetEffect::FetchTable => self.ask_platform(PlatformRequest::Table),
             FleetEffect::FetchMachines => self.ask_platform(PlatformRequest::Machines),
@@ -300,8 +301,9 @@
         let _ = self.parts.platform.send(request);
     }
 
-    /// Whoever asked may have given up waiting.
-    fn tell_members(&self, reply: &flume::Sender<Vec<KnownMember>>) {
+    /// Sends the list of members. The operators' server may have stopped waiting, so
+    /// a failed send is ignored.
+    fn send_members(&self, reply: &flume::Sender<Vec<KnownMember>>) {
         let now = self.parts.clock.now();
         let _ = reply.try_send(snapshot::members(&self.parts.node, now));
     }
