--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! The full check of the settings: texts to values.
+//! Checks all settings and converts their texts to values.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -26,7 +26,7 @@
     Settings, read_text,
 };
 
-/// A setting that is a number with a default.
+/// A numeric setting with bounds and a default.
 struct NumberSetting<T> {
     key: Key,
     bounds: RangeInclusive<T>,
@@ -54,8 +54,8 @@
     default: DEFAULT_STOP_TIMEOUT_SECONDS,
 };
 
-/// Checks all settings. Every fault is added to `findings`; the result is only
-/// to be used if there is none.
+/// Checks all settings. Every fault is added to `findings`; the result must only be
+/// used if `findings` is empty.
 pub(super) fn check(
     raw: RawSettings,
     file_name: Option<&str>,
@@ -66,8 +66,8 @@
         file_name,
         findings,
     };
-    checker.own_addresses();
-    checker.has_source();
+    checker.check_own_addresses();
+    checker.check_table_source();
     checker.settings()
 }
 
@@ -112,7 +112,7 @@
         })
     }
 
-    /// Reads one text; a fault is reported at its place.
+    /// Parses one value; a fault is reported with the place of the value.
     fn read<T>(
         &mut self,
         name: &str,
@@ -134,7 +134,8 @@
         self.read(key.as_str(), &value, read)
     }
 
-    /// A number inside its bounds, or its default.
+    /// Parses a numeric setting; the result is the default if the setting is absent
+    /// or has a fault.
     fn number<T>(&mut self, setting: &NumberSetting<T>) -> T
     where
         T: FromStr + PartialOrd + Display + Copy,
@@ -149,7 +150,7 @@
 
     fn required<T>(&mut self, key: Key, read: fn(&str) -> Result<T, String>) -> Option<T> {
         if !self.is_given(key) {
-            let place = self.place_of_missing(key);
+            let place = self.place_of_missing_setting(key);
             let flag = key.flag();
             let message = format!("`{key}` is missing; set it in the file or by {flag}");
             self.findings.add(place, message);
@@ -161,15 +162,16 @@
         self.raw.values.contains_key(&key) || self.raw.unreadable.contains(&key)
     }
 
-    fn place_of_missing(&self, key: Key) -> Place {
+    fn place_of_missing_setting(&self, key: Key) -> Place {
         match self.file_name {
             Some(name) => Place::File(Arc::from(name)),
             None => Place::Argument(Arc::from(key.flag())),
         }
     }
 
-    /// The node's own ports must be apart, unless the system chooses them.
-    fn own_addresses(&mut self) {
+    /// Checks that the node's own addresses differ, except for those whose port the
+    /// system chooses.
+    fn check_own_addresses(&mut self) {
         let mut taken: BTreeMap<SocketAddr, Key> = BTreeMap::new();
         for key in [Key::Node, Key::Callers, Key::Operators] {
             let Some(value) = self.raw.values.get(&key) else {
@@ -193,12 +195,13 @@
         }
     }
 
-    /// A node needs someone to learn the table from.
-    fn has_source(&mut self) {
+    /// Checks that the node has a source for the table: the platform's service or a
+    /// seed node.
+    fn check_table_source(&mut self) {
         if self.is_given(Key::PlatformTable) || !self.raw.seed_nodes.is_empty() {
             return;
         }
-        let place = self.place_of_missing(Key::PlatformTable);
+        let place = self.place_of_missing_setting(Key::PlatformTable);
         let message = "neither `platform_table` nor `seed_nodes` is set; \
                        the node has no one to learn the table from";
         self.findings.add(place, message);
@@ -212,7 +215,7 @@
             .collect()
     }
 
-    /// Reads and checks the roster file.
+    /// Reads and checks the claim roster file.
     fn claim_roster(&mut self) -> Option<Roster> {
         let value = self.raw.values.get(&Key::ClaimRoster).cloned()?;
         let name = value.text.trim();
--- a/crates/daemon/src/settings/claim_roster.rs
+++ b/crates/daemon/src/settings/claim_roster.rs
@@ -18,7 +18,7 @@
 const HEADER: [&str; 4] = ["address", "side", "zone", "standing"];
 const FIRST_MEMBER_ROW: usize = 3;
 
-/// Which rosters of a change a member belongs to.
+/// Whether a member belongs to the current roster, to the previous one, or to both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Standing {
     Member,
@@ -26,7 +26,7 @@
     Leaving,
 }
 
-/// Reads the roster in the text of a file. Every fault is added to `findings`.
+/// Parses the text of a roster file. Every fault is added to `findings`.
 pub(super) fn read(name: &str, text: &str, findings: &mut Findings) -> Option<Roster> {
     let mut reader = Reader {
         file: Arc::from(name),
--- a/crates/daemon/src/settings/file.rs
+++ b/crates/daemon/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! The settings file: TOML to texts with their places.
+//! Reads the settings file: TOML to texts with their places.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -39,7 +39,7 @@
 }
 
 impl Reader<'_> {
-    /// The place of a range of bytes: line and character of its beginning.
+    /// The place of a range of bytes: line and column (in characters) of its start.
     fn place(&self, span: Range<usize>) -> Place {
         let before = self.text.get(..span.start).unwrap_or(self.text);
         let line_start = before.rfind('\n').map_or(0, |position| position + 1);
@@ -62,7 +62,7 @@
                 None => {
                     let known = Key::ALL.map(Key::as_str).join(", ");
                     let message = format!(
-                        "{} is no setting; known are {known}",
+                        "{} is not a setting; known are {known}",
                         quoted(name.get_ref())
                     );
                     self.add(name.span(), message);
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The text of a string or a whole number.
+    /// The text of a value that is a string or a whole number.
     fn scalar(&mut self, name: &str, value: &Value<'_>) -> Option<RawValue> {
         let text = match value.get_ref() {
             DeValue::String(text) => text.to_string(),
@@ -132,7 +132,7 @@
                 "address" => address = Some(self.scalar("address", value)),
                 other => {
                     let message = format!(
-                        "{} is not known of a back end; known are service, address",
+                        "{} is not a key of a back end; known are service, address",
                         quoted(other)
                     );
                     self.add(name.span(), message);
--- a/crates/daemon/src/settings/flags.rs
+++ b/crates/daemon/src/settings/flags.rs
@@ -9,9 +9,9 @@
 use super::Key;
 use super::raw::{RawBackend, RawSettings, RawValue};
 
-/// One lifthollow node: takes calls from local callers, sends them to the
-/// servers of both data centres, and admits, queues or refuses what arrives for
-/// the back ends beside it.
+/// One lifthollow node: accepts calls from local callers, sends them to the
+/// servers of both data centres, and admits, queues or refuses attempts that
+/// arrive for its local back ends.
 ///
 /// Settings come from a TOML file (--settings) and from flags; a flag overrides
 /// the file, and a repeated flag replaces the file's whole list. Addresses are
@@ -22,8 +22,8 @@
     example = "Run without a file:\n  {command_name} --node 10.0.1.5:7000 --callers 127.0.0.1:7100 \
                --operators 10.0.1.5:7200 --side old --zone 1 --backend feeds=127.0.0.1:9000 \
                --platform-table 10.0.0.2:8080 --platform-machines 10.0.0.2:8080",
-    note = "SIGTERM begins a planned stop: the node takes no new work, finishes what is in \
-            progress and exits, at the latest after stop_timeout_seconds.",
+    note = "SIGTERM begins a planned stop: the node accepts no new work, finishes calls and \
+            attempts in progress and exits, at the latest after stop_timeout_seconds.",
     error_code(0, "the node stopped as planned, or --check found no fault"),
     error_code(
         1,
@@ -52,7 +52,7 @@
     /// the node's failure domain inside the side, 0 to 65535
     #[argh(option)]
     pub zone: Option<String>,
-    /// a back end beside the node; repeat for further services
+    /// a local back end of the node; repeat for further services
     #[argh(option, arg_name = "service=ip:port")]
     pub backend: Vec<String>,
     /// the platform's service that answers GET /table
@@ -90,14 +90,14 @@
     /// calls with a key are refused
     #[argh(option, arg_name = "file")]
     pub claim_roster: Option<String>,
-    /// yes only at the very first start of a fleet: no process of the roster
-    /// stored claims before (default: no)
+    /// yes only at the very first start of a fleet, when no process of the roster
+    /// has stored claims before (default: no)
     #[argh(option, arg_name = "yes|no")]
     pub claim_bootstrap: Option<String>,
 }
 
 impl Flags {
-    /// Puts what the flags give in the place of what the file gave.
+    /// Replaces settings of the file by those given as flags.
     pub(super) fn override_settings(&self, raw: &mut RawSettings, findings: &mut Findings) {
         for (key, text) in self.values() {
             if let Some(text) = text {
--- a/crates/daemon/src/settings/key.rs
+++ b/crates/daemon/src/settings/key.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// One setting.
+/// The key of one setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Key {
     /// `node`
@@ -66,7 +66,7 @@
         Key::ClaimBootstrap,
     ];
 
-    /// The key in the settings file.
+    /// The key as it is written in the settings file.
     pub fn as_str(self) -> &'static str {
         match self {
             Key::Node => "node",
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The flag that overrides the file. Flags of lists are repeated, so their
+    /// The flag that overrides the setting of the file. Flags of lists are repeated, so their
     /// names are singular.
     pub fn flag(self) -> String {
         match self {
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -1,7 +1,7 @@
 //! Settings of `lifthollowd`: a TOML file, overridden by flags, checked in full.
 //!
-//! [`file`] and [`flags`] collect texts with their places, [`check`] makes values
-//! of them; every fault of both is reported together.
+//! [`file`] and [`flags`] collect texts with their places, [`check`] converts them
+//! to values; the faults of both steps are reported together.
 
 mod check;
 mod claim_roster;
@@ -47,59 +47,62 @@
 
 /// Default of `stop_timeout_seconds`.
 pub const DEFAULT_STOP_TIMEOUT_SECONDS: u64 = 600;
-/// Bounds of `stop_timeout_seconds`: up to a day.
+/// Bounds of `stop_timeout_seconds`, from one second to one day.
 pub const STOP_TIMEOUT_SECONDS_BOUNDS: RangeInclusive<u64> = 1..=86_400;
 
-/// A back end that stands beside the node.
+/// A local back end of the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Backend {
-    /// The service it offers.
+    /// The service that the back end offers.
     pub service: ServiceName,
-    /// Where it listens for HTTP.
+    /// The address at which the back end accepts HTTP.
     pub address: SocketAddr,
 }
 
 /// The checked settings of one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Where other nodes reach this node, over TCP and UDP. Port 0 lets the
-    /// system choose one.
+    /// Address at which other nodes reach this node, over TCP and UDP. Port 0 lets
+    /// the system choose the port.
     pub node: SocketAddrV4,
-    /// Where callers reach this node over HTTP; port 0 as above.
+    /// Address at which callers reach this node over HTTP. Port 0 lets the system
+    /// choose the port.
     pub callers: SocketAddr,
-    /// Where operators reach this node over HTTP; port 0 as above.
+    /// Address at which operators reach this node over HTTP. Port 0 lets the system
+    /// choose the port.
     pub operators: SocketAddr,
     /// The node's data centre.
     pub side: Side,
     /// The node's failure domain.
     pub zone: Zone,
-    /// The back ends beside the node, one for each service.
+    /// The local back ends of the node, one for each service.
     pub backends: Vec<Backend>,
-    /// The platform's service that answers `GET /table`.
+    /// Address of the platform's service that answers `GET /table`.
     pub platform_table: Option<SocketAddr>,
-    /// The platform's service that answers `GET /machines`.
+    /// Address of the platform's service that answers `GET /machines`.
     pub platform_machines: Option<SocketAddr>,
-    /// Other nodes to ask first.
+    /// Other nodes that this node contacts first.
     pub seed_nodes: Vec<SocketAddrV4>,
-    /// The decisions the node runs.
+    /// The policy that makes the decisions of the node.
     pub policy: PolicyKind,
     /// The least severe level that is logged.
     pub log_level: slog::Level,
     /// Seed of the node's random choices; chosen at the start if absent.
     pub random_seed: Option<u64>,
-    /// Worker threads for calls.
+    /// Number of worker threads for calls.
     pub call_threads: usize,
     /// Largest head of an HTTP message, bytes.
     pub max_header_bytes: usize,
     /// Largest body that is held in memory so that a retry can send it again,
     /// bytes; larger bodies are streamed.
     pub buffered_body_bytes: usize,
-    /// Longest time of a planned stop.
+    /// Longest time that a planned stop waits for calls in progress.
     pub stop_timeout: Duration,
     /// The nodes that store claims on idempotency keys; without it calls
     /// with a key are refused.
     pub claim_roster: Option<Roster>,
-    /// No process of the roster stored claims before.
+    /// Whether no process of the roster has stored claims before: true only at the
+    /// first start of a fleet.
     pub claim_bootstrap: bool,
 }
 
@@ -139,7 +142,7 @@
     })
 }
 
-/// Reads a file that is not too large.
+/// Reads a text file of at most [`MAX_FILE_BYTES`].
 fn read_text(path: &str) -> Result<String, String> {
     match std::fs::metadata(path) {
         Ok(metadata) if metadata.len() > MAX_FILE_BYTES => {
--- a/crates/daemon/src/settings/raw.rs
+++ b/crates/daemon/src/settings/raw.rs
@@ -6,33 +6,33 @@
 
 use super::Key;
 
-/// The text of one value and where it stands.
+/// The text of one value and its place in the file or command line.
 #[derive(Clone, Debug)]
 pub(super) struct RawValue {
     /// The value as text.
     pub(super) text: String,
-    /// Where it was given.
+    /// The place where the value was given.
     pub(super) place: Place,
 }
 
-/// The texts of one back end.
+/// The texts of one back end setting.
 #[derive(Clone, Debug)]
 pub(super) struct RawBackend {
-    /// The service's name.
+    /// Name of the service.
     pub(super) service: RawValue,
-    /// The back end's address.
+    /// Address of the back end.
     pub(super) address: RawValue,
 }
 
 /// All settings that were given.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RawSettings {
-    /// Settings that were given with a value of a wrong type, which is reported.
+    /// Settings whose value has a wrong type; the fault is already reported.
     pub(super) unreadable: BTreeSet<Key>,
-    /// Settings of one value.
+    /// Settings that have a single value.
     pub(super) values: BTreeMap<Key, RawValue>,
-    /// `seed_nodes`.
+    /// The elements of `seed_nodes`.
     pub(super) seed_nodes: Vec<RawValue>,
-    /// `backends`.
+    /// The elements of `backends`.
     pub(super) backends: Vec<RawBackend>,
 }
--- a/crates/daemon/src/settings/value.rs
+++ b/crates/daemon/src/settings/value.rs
@@ -1,5 +1,5 @@
-//! How the text of one setting becomes a value. Faults are returned as the
-//! second half of a finding's message.
+//! Parsers for the text of one setting. Faults are returned as the second half of
+//! a finding's message, which begins with the key.
 
 use std::net::{SocketAddr, SocketAddrV4};
 use std::ops::RangeInclusive;
@@ -56,17 +56,21 @@
 pub(super) fn remote_address(text: &str) -> Result<SocketAddr, String> {
     let address = own_address(text)?;
     if address.port() == 0 || address.ip().is_unspecified() {
-        return Err(unknown(text, "it names no one place to connect to"));
+        return Err(unknown(text, "it is not a specific address to connect to"));
     }
     Ok(address)
 }
 
-/// The node's address is its name for other nodes, so it must be one IP.
+/// Parses a node's address. Other nodes identify the node by it, so it must be one
+/// specific IP.
 pub(super) fn node_address(text: &str) -> Result<SocketAddrV4, String> {
     let address =
         SocketAddrV4::from_str(text).map_err(|_| unknown(text, "a node's address is IPv4:PORT"))?;
     if address.ip().is_unspecified() {
-        return Err(unknown(text, "other nodes need one IP to connect to"));
+        return Err(unknown(
+            text,
+            "other nodes need a specific IP to connect to",
+        ));
     }
     Ok(address)
 }
@@ -74,7 +78,7 @@
 pub(super) fn remote_node_address(text: &str) -> Result<SocketAddrV4, String> {
     let address = node_address(text)?;
     if address.port() == 0 {
-        return Err(unknown(text, "it names no port to connect to"));
+        return Err(unknown(text, "it has no port to connect to"));
     }
     Ok(address)
 }
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -88,8 +88,8 @@
         "n.toml:6:8: `zone`: `70000` is not a whole number from 0 to 65535",
         "n.toml:8:15: `seed_nodes`: `10.0.1.6:0` is not valid",
         "n.toml:10:1: the back end's `service` is missing",
-        "n.toml:11:1: `name` is not known of a back end",
-        "n.toml:14:2: `limits` is no setting",
+        "n.toml:11:1: `name` is not a key of a back end",
+        "n.toml:14:2: `limits` is not a setting",
         "--call-threads: `call_threads`: `0` is not a whole number from 1 to 64",
         "--policy: `policy`: `none` is not valid",
     ];
