--- a/crates/daemon/src/traffic/answer.rs
+++ b/crates/daemon/src/traffic/answer.rs
@@ -1,4 +1,4 @@
-//! What callers are answered.
+//! Responses to callers.
 
 use std::time::Duration;
 
@@ -15,23 +15,24 @@
 use crate::traffic::caller_headers::HeaderFaults;
 use crate::traffic::request_body::ReadError;
 
-/// `complete`, `not-run` or `unknown`.
+/// Header with the outcome of a call: `complete`, `not-run` or `unknown`.
 pub const OUTCOME: HeaderName = HeaderName::from_static("lifthollow-outcome");
-/// Why there is no complete answer.
+/// Header with the reason why the outcome is not `complete`.
 pub const REASON: HeaderName = HeaderName::from_static("lifthollow-reason");
-/// When to come back, milliseconds.
+/// Header with the time after which the caller may retry, milliseconds.
 pub const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("lifthollow-retry-after-ms");
 /// The outcome of an answer from a back end.
 pub const COMPLETE: &str = "complete";
 
-/// Reason of a call whose headers have faults.
+/// Reason of a refused call whose headers have faults.
 const BAD_HEADERS: &str = "bad_headers";
-/// Reason of a keyed call whose body is too large.
+/// Reason of a refused call with an idempotency key whose body is too large.
 const BODY_TOO_LARGE: &str = "body_too_large";
-/// Reason of a call whose body ended early.
+/// Reason of a refused call whose body ended early.
 const BODY_BROKEN: &str = "body_broken";
 
-/// The head of a back end's answer; the body is put in by the caller.
+/// The response to the caller that carries a back end's answer, with the given
+/// body.
 pub fn delivered(head: &AnswerHead, body: AnyBody) -> Response<AnyBody> {
     let mut response = Response::new(body);
     *response.status_mut() = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -41,7 +42,7 @@
     response
 }
 
-/// The answer to a call that was given up.
+/// The response to a call that was refused or whose outcome is unknown.
 pub fn refused(
     outcome: Outcome,
     reason: RefusalReason,
@@ -51,7 +52,7 @@
         Outcome::NotRun => not_run_status(reason),
         Outcome::Unknown => unknown_status(reason),
     };
-    let mut response = without_answer(status, outcome, reason.as_str(), reason.as_str());
+    let mut response = error_response(status, outcome, reason.as_str(), reason.as_str());
     let seconds = retry_after.as_millis().div_ceil(1000) as u64;
     let milliseconds = retry_after.as_millis() as u64;
     let headers = response.headers_mut();
@@ -60,19 +61,19 @@
     response
 }
 
-/// The answer to a call whose headers have faults.
+/// The response to a call whose headers have faults.
 pub fn bad_headers(faults: &HeaderFaults) -> Response<AnyBody> {
     let text = faults.to_string();
-    without_answer(StatusCode::BAD_REQUEST, Outcome::NotRun, BAD_HEADERS, &text)
+    error_response(StatusCode::BAD_REQUEST, Outcome::NotRun, BAD_HEADERS, &text)
 }
 
-/// The answer to a call whose body could not be read.
-pub fn body_not_taken(error: &ReadError) -> Response<AnyBody> {
+/// The response to a call whose body could not be read.
+pub fn unreadable_body(error: &ReadError) -> Response<AnyBody> {
     let (status, reason) = match error {
         ReadError::KeyedTooLarge => (StatusCode::PAYLOAD_TOO_LARGE, BODY_TOO_LARGE),
         ReadError::Broken(_) => (StatusCode::BAD_REQUEST, BODY_BROKEN),
     };
-    without_answer(status, Outcome::NotRun, reason, &error.to_string())
+    error_response(status, Outcome::NotRun, reason, &error.to_string())
 }
 
 fn not_run_status(reason: RefusalReason) -> StatusCode {
@@ -90,7 +91,7 @@
     }
 }
 
-fn without_answer(
+fn error_response(
     status: StatusCode,
     outcome: Outcome,
     reason: &'static str,
--- a/crates/daemon/src/traffic/attempt.rs
+++ b/crates/daemon/src/traffic/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt of another node, from its arrival to the last byte of the back
-//! end's answer.
+//! Handling of one attempt from another node, from its arrival to the last byte of
+//! the back end's answer.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 use crate::traffic::caller_headers;
 use crate::traffic::in_progress::InProgressGuard;
 use crate::traffic::parents::ParentGuard;
-use crate::traffic::record_answer::{headers_of, read_answer};
+use crate::traffic::record_answer::{read_answer, recorded_headers};
 use crate::traffic::run::{backend_request, run_result};
 
 /// Serves attempts as they arrive, each in a task of its own.
@@ -39,42 +39,43 @@
     }
 }
 
-/// Carries out what is decided for one attempt.
+/// Carries out the effects decided for one attempt.
 struct AttemptTask {
     traffic: Arc<Traffic>,
     id: InboundId,
     service: ServiceName,
     effects: flume::Receiver<AttemptEffect>,
     cancel_signal: CancelSignal,
-    /// Nothing more can be cancelled: the other node gave up, or has its answer.
-    over: bool,
-    /// The run is under a claim, so that its answer is recorded.
+    /// Whether cancellation is no longer awaited, because the other node has already
+    /// cancelled the attempt or has its answer.
+    not_cancellable: bool,
+    /// Whether the run is under a claim, so that its answer is recorded.
     claimed: bool,
     answer: Option<AnswerSender>,
-    /// Whether the control thread has been told of the run's end.
-    closed: bool,
+    /// Whether the end of the run has been reported to the control thread.
+    end_reported: bool,
     _parent: ParentGuard,
     _in_progress: InProgressGuard,
 }
 
-/// The attempt's number is forgotten when its task ends; the end of a run tells
-/// that already.
+/// Releases the attempt's route in the control thread when its task ends. The
+/// report of the end of a run releases the route already.
 impl Drop for AttemptTask {
     fn drop(&mut self) {
-        if !self.closed {
+        if !self.end_reported {
             self.release();
         }
     }
 }
 
-/// An answer as it was decided.
+/// The answer to an attempt as the control thread decided it.
 struct DecidedAnswer {
     result: AttemptResult,
     load: LoadReport,
     unspent: RetryAllowance,
 }
 
-/// When a run must start and end.
+/// The times by which a run must start and end.
 #[derive(Clone, Copy)]
 struct Admission {
     deadline: Timestamp,
@@ -95,10 +96,10 @@
             service: service.clone(),
             effects,
             cancel_signal: incoming.cancelled,
-            over: false,
+            not_cancellable: false,
             claimed: false,
             answer: Some(incoming.answer),
-            closed: false,
+            end_reported: false,
             _parent: traffic.parents.insert(id, context.clone()),
             _in_progress: traffic.in_progress.enter(),
             traffic,
@@ -117,7 +118,7 @@
         (task, open, incoming.body)
     }
 
-    /// Waits until the attempt may run or is over.
+    /// Waits until the attempt is admitted; `None` if it ended without a run.
     async fn wait_for_admission(&mut self) -> Option<Admission> {
         loop {
             tokio::select! {
@@ -137,16 +138,16 @@
                     Ok(AttemptEffect::CancelRun) => {}
                     Err(_) => return None,
                 },
-                () = self.cancel_signal.cancelled(), if !self.over => {
+                () = self.cancel_signal.cancelled(), if !self.not_cancellable => {
                     self.report_cancelled();
-                    // What was decided before the cancellation is still to come.
+                    // Effects decided before the cancellation still arrive.
                     self.release();
                 }
             }
         }
     }
 
-    /// Runs the attempt; the back end is free of it at the end.
+    /// Runs the attempt. When this returns, it no longer occupies the back end.
     async fn run(&mut self, open: &Open, body: BodyReceiver, admission: Admission) {
         self.claimed = admission.start_before.is_some();
         if let Some(answer) = self.wait_for_backend(open, body, admission).await {
@@ -154,13 +155,14 @@
                 id: self.id,
                 result: run_result(&answer),
             });
-            self.pass_on(answer).await;
+            self.forward_answer(answer).await;
         }
-        self.closed = true;
+        self.end_reported = true;
         self.report(InboundEvent::RunClosed { id: self.id });
     }
 
-    /// `None` if the run was cancelled; the connection to the back end is closed.
+    /// Sends the request to the back end and waits for its answer. `None` if the run
+    /// was cancelled; the connection to the back end is then closed.
     async fn wait_for_backend(
         &mut self,
         open: &Open,
@@ -169,7 +171,7 @@
     ) -> Option<BackendAnswer> {
         let traffic = self.traffic.clone();
         let Some(pool) = traffic.backend(&self.service) else {
-            let message = "no back end of this service".to_owned();
+            let message = "the node has no local back end for the service".to_owned();
             return Some(Err(BackendError::NotSent(message)));
         };
         let token = traffic.parents.token(self.id);
@@ -180,7 +182,8 @@
         };
         let start_before = admission.start_before;
         if start_before.is_some_and(|end| traffic.clock.now() >= end) {
-            let message = "the start window of the claim has passed".to_owned();
+            let message =
+                "the time by which a run under the claim must start has passed".to_owned();
             return Some(Err(BackendError::NotSent(message)));
         }
         let running = pool.send(request);
@@ -196,14 +199,14 @@
                     Ok(AttemptEffect::Run { .. } | AttemptEffect::Replay { .. }) => {}
                     Err(_) => return None,
                 },
-                () = self.cancel_signal.cancelled(), if !self.over => self.report_cancelled(),
+                () = self.cancel_signal.cancelled(), if !self.not_cancellable => self.report_cancelled(),
             }
         }
     }
 
     /// Waits for the decision on the back end's answer and carries it out. An
-    /// attempt that was answered while it ran needs no second answer.
-    async fn pass_on(&mut self, answer: BackendAnswer) {
+    /// attempt that was answered while it ran gets no second answer.
+    async fn forward_answer(&mut self, answer: BackendAnswer) {
         while self.answer.is_some() {
             tokio::select! {
                 effect = self.effects.recv_async() => match effect {
@@ -214,7 +217,7 @@
                     Ok(AttemptEffect::Run { .. } | AttemptEffect::Replay { .. }) => {}
                     Ok(AttemptEffect::CancelRun) | Err(_) => return,
                 },
-                () = self.cancel_signal.cancelled(), if !self.over => {
+                () = self.cancel_signal.cancelled(), if !self.not_cancellable => {
                     self.report_cancelled();
                     return;
                 }
@@ -227,8 +230,8 @@
         let (Ok(mut response), true) = (answer, is_complete) else {
             return self.send_refusal(decided);
         };
-        let headers = header::end_to_end(response.headers(), caller_headers::is_own);
-        let beginning = self.record(&mut response, &headers).await;
+        let headers = header::end_to_end(response.headers(), caller_headers::is_internal_header);
+        let body_prefix = self.record(&mut response, &headers).await;
         let Some(sender) = self.answer.take() else {
             return;
         };
@@ -240,11 +243,11 @@
             load: decided.load,
             unspent: decided.unspent.0,
         });
-        self.send_body(sender, beginning, body).await;
+        self.send_body(sender, body_prefix, body).await;
     }
 
-    /// Records the answer of a run under a claim. Returns what was read of the
-    /// body for it.
+    /// Records the answer of a run under a claim. Returns the part of the body that
+    /// was read for the record.
     async fn record(&self, response: &mut Response<BackendBody>, headers: &[Header]) -> Vec<Bytes> {
         if !self.claimed {
             return Vec::new();
@@ -254,19 +257,19 @@
             let id = self.id;
             self.report(InboundEvent::AnswerRecorded { id, outcome });
         }
-        read.beginning
+        read.body_prefix
     }
 
-    /// Answers with a recorded answer.
+    /// Answers the attempt with the recorded answer of an earlier run.
     async fn replay(&mut self, answer: RecordedAnswer, decided: DecidedAnswer) {
         let Some(sender) = self.answer.take() else {
             return;
         };
-        self.over = true;
+        self.not_cancellable = true;
         let mut sender = sender.send_head(AnswerHead {
             result: decided.result,
             status: answer.status,
-            headers: headers_of(&answer),
+            headers: recorded_headers(&answer),
             load: decided.load,
             unspent: decided.unspent.0,
         });
@@ -275,8 +278,8 @@
         }
     }
 
-    async fn send_body(&mut self, sender: BodySender, beginning: Vec<Bytes>, body: BackendBody) {
-        let sending = forward(sender, beginning, body);
+    async fn send_body(&mut self, sender: BodySender, body_prefix: Vec<Bytes>, body: BackendBody) {
+        let sending = forward(sender, body_prefix, body);
         tokio::pin!(sending);
         loop {
             tokio::select! {
@@ -285,7 +288,7 @@
                     Ok(AttemptEffect::CancelRun) | Err(_) => return,
                     Ok(_) => {}
                 },
-                () = self.cancel_signal.cancelled(), if !self.over => {
+                () = self.cancel_signal.cancelled(), if !self.not_cancellable => {
                     self.report_cancelled();
                     return;
                 }
@@ -293,10 +296,10 @@
         }
     }
 
-    /// Answers without a body; nothing is sent if the attempt is answered already.
+    /// Answers the attempt without a body; nothing is sent if it is already answered.
     fn send_refusal(&mut self, decided: DecidedAnswer) {
         if let Some(sender) = self.answer.take() {
-            self.over = true;
+            self.not_cancellable = true;
             sender.send_bodiless(AnswerHead {
                 result: decided.result,
                 status: 0,
@@ -308,7 +311,7 @@
     }
 
     fn report_cancelled(&mut self) {
-        self.over = true;
+        self.not_cancellable = true;
         self.report(InboundEvent::AttemptCancelled { id: self.id });
     }
 
@@ -324,9 +327,10 @@
     }
 }
 
-/// Sends the back end's body. If it breaks off, so does the stream.
-async fn forward(mut sender: BodySender, beginning: Vec<Bytes>, mut body: BackendBody) {
-    for data in beginning {
+/// Sends the body of the back end's answer. If the body ends early, the stream ends
+/// without its end mark.
+async fn forward(mut sender: BodySender, body_prefix: Vec<Bytes>, mut body: BackendBody) {
+    for data in body_prefix {
         if sender.send(data).await.is_err() {
             return;
         }
--- a/crates/daemon/src/traffic/call.rs
+++ b/crates/daemon/src/traffic/call.rs
@@ -1,4 +1,4 @@
-//! One call of a local caller, from its request to its answer.
+//! Handling of one call of a local caller, from its request to its answer.
 
 use std::collections::BTreeMap;
 use std::pin::Pin;
@@ -31,8 +31,9 @@
 use crate::traffic::request_body::{self, ReadError, RequestBody};
 use crate::traffic::{Traffic, answer};
 
-/// When a caller may come back to a node that is leaving or has just started:
-/// long enough for its list of nodes to change, or for the node to have a table.
+/// Time after which a caller may retry at a node that is leaving or has just
+/// started: long enough for the caller's list of nodes to change, or for the node to
+/// have a table.
 const RETRY_AFTER_REFUSAL: Duration = Duration::from_secs(1);
 
 impl CallHandler for Traffic {
@@ -53,7 +54,7 @@
 ) -> Response<AnyBody> {
     let arrived = traffic.clock.now();
     let service = headers.service.clone();
-    let response = match refusal_at_the_door(&traffic, &headers) {
+    let response = match immediate_refusal(&traffic, &headers) {
         Some(reason) => answer::refused(Outcome::NotRun, reason, RETRY_AFTER_REFUSAL),
         None => run(traffic.clone(), headers, request, in_progress).await,
     };
@@ -66,9 +67,9 @@
     response
 }
 
-/// Why a call is refused before anything is decided about it: the node is
-/// leaving, or has no table yet.
-fn refusal_at_the_door(traffic: &Traffic, headers: &CallerHeaders) -> Option<RefusalReason> {
+/// Why a call is refused without asking the control thread: the node is leaving, or
+/// has no table yet.
+fn immediate_refusal(traffic: &Traffic, headers: &CallerHeaders) -> Option<RefusalReason> {
     let parent = headers
         .context
         .and_then(|token| traffic.parents.find(token));
@@ -88,7 +89,7 @@
     let (parts, incoming) = request.into_parts();
     let body = match read_body(&traffic, &headers, incoming).await {
         Ok(body) => body,
-        Err(error) => return answer::body_not_taken(&error),
+        Err(error) => return answer::unreadable_body(&error),
     };
     let id = traffic.next_call();
     let description = describe(&traffic, id, &headers, &body);
@@ -110,7 +111,7 @@
 
 type AttemptFuture = Abortable<Pin<Box<dyn Future<Output = AttemptOutcome> + Send>>>;
 
-/// Carries out what is decided for one call.
+/// Carries out the effects decided for one call.
 struct CallDriver {
     traffic: Arc<Traffic>,
     effects: flume::Receiver<OutboundEffect>,
@@ -119,18 +120,18 @@
     attempts: FuturesUnordered<AttemptFuture>,
     abort_handles: BTreeMap<AttemptId, AbortHandle>,
     responses: BTreeMap<AttemptId, AttemptResponse>,
-    hang_up: HangUpGuard,
+    disconnect_guard: CallerDisconnectGuard,
     in_progress: InProgressGuard,
 }
 
-/// Reports the caller's hanging up if it is dropped before the answer.
-struct HangUpGuard {
+/// Reports that the caller cancelled the call, if it is dropped before the answer.
+struct CallerDisconnectGuard {
     call: CallId,
     control: ControlHandle,
     answered: bool,
 }
 
-impl Drop for HangUpGuard {
+impl Drop for CallerDisconnectGuard {
     fn drop(&mut self) {
         if !self.answered {
             let call = self.call;
@@ -139,7 +140,7 @@
     }
 }
 
-/// A call's body as it is handed to attempts.
+/// The request body of a call, handed to each of its attempts.
 struct CallBody(Option<RequestBody>);
 
 impl CallBody {
@@ -167,7 +168,7 @@
             description: Box::new(description),
             effects: sender,
         });
-        let hang_up = HangUpGuard {
+        let disconnect_guard = CallerDisconnectGuard {
             call: id,
             control: traffic.control.clone(),
             answered: false,
@@ -180,7 +181,7 @@
             attempts: FuturesUnordered::new(),
             abort_handles: BTreeMap::new(),
             responses: BTreeMap::new(),
-            hang_up,
+            disconnect_guard,
             in_progress,
         }
     }
@@ -194,12 +195,12 @@
                     }
                     Ok(OutboundEffect::Cancel { attempt }) => self.cancel(attempt),
                     Ok(OutboundEffect::Answer { answer, .. }) => return self.answer(answer).await,
-                    // The control thread ends only with the process.
-                    Err(_) => return self.lost(),
+                    // The control thread ends only when the process ends.
+                    Err(_) => return self.answer_lost(),
                 },
                 Some(outcome) = self.attempts.next(), if !self.attempts.is_empty() => {
                     if let Ok(outcome) = outcome {
-                        self.answered(outcome);
+                        self.finish_attempt(outcome);
                     }
                 }
             }
@@ -226,8 +227,8 @@
         }
     }
 
-    /// An attempt that was given up meanwhile is reported no more.
-    fn answered(&mut self, outcome: AttemptOutcome) {
+    /// Reports the outcome of an attempt, unless the attempt has been cancelled.
+    fn finish_attempt(&mut self, outcome: AttemptOutcome) {
         if self.abort_handles.remove(&outcome.attempt).is_some() {
             self.report(outcome);
         }
@@ -247,7 +248,7 @@
     }
 
     async fn answer(mut self, answer: CallAnswer) -> Response<AnyBody> {
-        self.hang_up.answered = true;
+        self.disconnect_guard.answered = true;
         match answer {
             CallAnswer::Deliver { attempt } => match self.responses.remove(&attempt) {
                 Some(response) => {
@@ -255,7 +256,7 @@
                     let bodiless = self.request.method == "HEAD";
                     deliver(control, attempt, response, bodiless, self.in_progress).await
                 }
-                None => self.lost(),
+                None => self.answer_lost(),
             },
             CallAnswer::NotRun {
                 reason,
@@ -268,7 +269,7 @@
         }
     }
 
-    fn lost(&self) -> Response<AnyBody> {
+    fn answer_lost(&self) -> Response<AnyBody> {
         let reason = RefusalReason::AnswerLost;
         answer::refused(Outcome::Unknown, reason, RETRY_AFTER_REFUSAL)
     }
--- a/crates/daemon/src/traffic/caller_headers.rs
+++ b/crates/daemon/src/traffic/caller_headers.rs
@@ -1,4 +1,4 @@
-//! The headers by which a caller describes its call.
+//! The request headers in which a caller describes its call.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,62 +11,62 @@
 
 use crate::traffic::parents::ContextToken;
 
-/// Names the service that is called.
+/// Header with the service that is called.
 pub const SERVICE: &str = "lifthollow-service";
-/// Time until the caller stops waiting, milliseconds.
+/// Header with the time until the caller stops waiting, milliseconds.
 pub const DEADLINE: &str = "lifthollow-deadline-ms";
-/// Class of the call.
+/// Header with the priority class of the call.
 pub const CLASS: &str = "lifthollow-class";
-/// Name of an operation that must run at most once.
+/// Header with the name of an operation that must run at most once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// The client's name for the whole request.
+/// Header with the client's name for the whole request.
 pub const REQUEST: &str = "lifthollow-request";
-/// Which try of the client this is; 1 is the first.
+/// Header with the number of the client's attempt; 1 is the first.
 pub const ATTEMPT: &str = "lifthollow-attempt";
-/// Ties a call to the attempt whose back end makes it.
+/// Header that links a call to the attempt whose back end makes it.
 pub const CONTEXT: &str = "lifthollow-context";
 
-/// All headers with this prefix are between a process and its own node.
-const OWN_PREFIX: &str = "lifthollow-";
-/// Longest name of a request or key.
+/// Headers with this prefix are exchanged only between a process and its own node.
+const INTERNAL_PREFIX: &str = "lifthollow-";
+/// Longest name of a request or idempotency key.
 const MAX_NAME_BYTES: usize = 256;
-/// Longest deadline that can be asked for.
+/// Longest deadline that a caller can set.
 const MAX_DEADLINE: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// Whether a header is not passed on to the other side of the node.
-pub fn is_own(name: &HeaderName) -> bool {
-    name.as_str().starts_with(OWN_PREFIX)
+/// Whether a header is between a process and its own node, and so is not forwarded.
+pub fn is_internal_header(name: &HeaderName) -> bool {
+    name.as_str().starts_with(INTERNAL_PREFIX)
 }
 
-/// What a caller says of its call.
+/// The parsed headers in which a caller describes its call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerHeaders {
     /// The service that is called.
     pub service: ServiceName,
     /// Time until the caller stops waiting.
     pub deadline: Option<Duration>,
-    /// Class of the call.
+    /// Priority class of the call.
     pub class: Option<PriorityClass>,
     /// Name of an operation that must run at most once.
     pub idempotency_key: Option<String>,
     /// The client's name for the whole request.
     pub request: Option<String>,
-    /// Which try of the client this is; 1 is the first.
+    /// Number of the client's attempt; 1 is the first.
     pub attempt: u32,
     /// The attempt whose back end makes the call.
     pub context: Option<ContextToken>,
 }
 
-/// One fault of the headers.
+/// A fault of one header.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeaderFault {
-    /// The header.
+    /// Name of the header.
     pub header: &'static str,
-    /// What is wrong with it.
+    /// Description of the fault.
     pub message: String,
 }
 
-/// All faults of a call's headers, one a line.
+/// All faults of a call's headers, displayed one a line.
 #[derive(Clone, Debug, Default, PartialEq, Eq, thiserror::Error)]
 pub struct HeaderFaults(pub Vec<HeaderFault>);
 
@@ -79,7 +79,7 @@
     }
 }
 
-/// Reads the headers; all faults are reported together.
+/// Parses the headers; all faults are reported together.
 pub fn parse(headers: &HeaderMap) -> Result<CallerHeaders, HeaderFaults> {
     let mut reader = HeaderReader {
         headers,
--- a/crates/daemon/src/traffic/delivery.rs
+++ b/crates/daemon/src/traffic/delivery.rs
@@ -1,4 +1,4 @@
-//! Passing a back end's answer on to the caller.
+//! Forwards a back end's answer to the caller.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -17,8 +17,8 @@
 use crate::traffic::dispatch::AttemptResponse;
 use crate::traffic::in_progress::InProgressGuard;
 
-/// The caller's answer. Its body passes while the caller reads it. `head_only`:
-/// the request's method is `HEAD`.
+/// Builds the response to the caller. Its body is forwarded while the caller reads
+/// it. `head_only` says that the request's method is `HEAD`.
 pub async fn deliver(
     control: ControlHandle,
     attempt: AttemptId,
@@ -30,7 +30,7 @@
     let mut delivered = answer::delivered(&response.head, empty());
     let mut body = DeliveredBody {
         response,
-        closing: ClosingReport {
+        end_report: AnswerEndReport {
             control,
             attempt,
             complete: false,
@@ -39,7 +39,8 @@
     };
     let bodiless = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED];
     if head_only || bodiless.iter().any(|code| code.as_u16() == status) {
-        // No body follows, so nobody will read it to its end.
+        // The response has no body that the caller would read to its end, so the
+        // attempt's body is read to its end here.
         while body.frame().await.is_some() {}
         return delivered;
     }
@@ -51,14 +52,14 @@
     Empty::new().map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Reports the end of the answer when it is dropped.
-struct ClosingReport {
+/// Reports the end of the answer when dropped.
+struct AnswerEndReport {
     control: ControlHandle,
     attempt: AttemptId,
     complete: bool,
 }
 
-impl Drop for ClosingReport {
+impl Drop for AnswerEndReport {
     fn drop(&mut self) {
         self.control.outbound(OutboundEvent::AttemptClosed {
             attempt: self.attempt,
@@ -69,7 +70,7 @@
 
 struct DeliveredBody {
     response: AttemptResponse,
-    closing: ClosingReport,
+    end_report: AnswerEndReport,
     _in_progress: InProgressGuard,
 }
 
@@ -85,7 +86,7 @@
             Some(Ok(bytes)) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
             Some(Err(error)) => Poll::Ready(Some(Err(error.into()))),
             None => {
-                self.closing.complete = true;
+                self.end_report.complete = true;
                 Poll::Ready(None)
             }
         }
--- a/crates/daemon/src/traffic/describe.rs
+++ b/crates/daemon/src/traffic/describe.rs
@@ -1,4 +1,5 @@
-//! A caller's request as the policy sees it, and as it crosses to other nodes.
+//! Builds the policy's description of a caller's request, and the request head that
+//! is sent to other nodes.
 
 use std::time::Duration;
 
@@ -19,11 +20,12 @@
 use crate::traffic::dispatch::RequestHead;
 use crate::traffic::request_body::RequestBody;
 
-/// Deadline of a call of a service that the table does not know.
+/// Deadline of a call to a service that is not in the table.
 const FALLBACK_DEADLINE: Duration = Duration::from_secs(1);
 
-/// The call for the policy. A call that names a parent which is no longer in
-/// progress here belongs to no request known, and is granted no retries.
+/// Builds the description of a call for the policy. A call that names a parent which
+/// is no longer in progress on this node belongs to no known request, and is granted
+/// no retries.
 pub fn describe(
     traffic: &Traffic,
     id: CallId,
@@ -79,7 +81,7 @@
     }
 }
 
-/// The retries that a whole request starts with.
+/// The retries granted to a new request as a whole.
 fn granted_allowance(headers: &CallerHeaders) -> RetryAllowance {
     if headers.context.is_some() {
         return RetryAllowance(0);
@@ -87,8 +89,9 @@
     entry_allowance(AttemptNumber(headers.attempt))
 }
 
-/// A nested call is never more important than its parent and never outlives it.
-/// Its allowance is lent by the policy, which keeps the parent's ledger.
+/// The context of a nested call. Its priority is never higher and its deadline never
+/// later than that of its parent. Its retry allowance is lent by the policy, which
+/// accounts for the parent's allowance.
 fn nested_context(
     headers: &CallerHeaders,
     parent: &RequestContext,
@@ -108,11 +111,11 @@
     }
 }
 
-/// What every attempt of the call sends.
+/// Builds the part of the request that is the same in all attempts of the call.
 pub fn request_head(parts: &Parts, headers: &CallerHeaders, body: &RequestBody) -> RequestHead {
     let path = parts.uri.path_and_query();
     let path = path.map_or("/", |path| path.as_str());
-    let leave_out = |name: &HeaderName| caller_headers::is_own(name) || name == EXPECT;
+    let leave_out = |name: &HeaderName| caller_headers::is_internal_header(name) || name == EXPECT;
     RequestHead {
         service: headers.service.clone(),
         method: parts.method.as_str().to_owned(),
@@ -122,7 +125,7 @@
     }
 }
 
-/// Zero for calls without an idempotency key.
+/// Digest of method, path and body; zero for calls without an idempotency key.
 fn body_digest(method: &str, path: &str, headers: &CallerHeaders, body: &RequestBody) -> u64 {
     let (Some(_), RequestBody::Buffered(bytes)) = (&headers.idempotency_key, body) else {
         return 0;
--- a/crates/daemon/src/traffic/dispatch.rs
+++ b/crates/daemon/src/traffic/dispatch.rs
@@ -16,46 +16,48 @@
 use crate::traffic::Traffic;
 use crate::traffic::request_body::RequestBody;
 
-/// When a caller may come back after a connection failed.
+/// Time after which a caller may retry when the connection to a server failed.
 const RETRY_AFTER_FAILED_CONNECTION: std::time::Duration = std::time::Duration::from_secs(1);
 
-/// What every attempt of a call sends.
+/// The part of the request that is the same in all attempts of a call.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
-    /// The service wanted.
+    /// The service that is called.
     pub service: ServiceName,
-    /// HTTP method.
+    /// HTTP method of the request.
     pub method: String,
-    /// Path and query.
+    /// Path and query of the request.
     pub path: String,
-    /// End-to-end headers.
+    /// End-to-end headers of the request.
     pub headers: Vec<Header>,
-    /// Digest of method, path and body of a keyed call.
+    /// Digest of method, path and body of a call with an idempotency key; zero for
+    /// other calls.
     pub body_digest: u64,
 }
 
-/// The answer of an attempt, with the body still to come.
+/// The answer of an attempt, whose body is yet to be received.
 pub struct AttemptResponse {
-    /// The head.
+    /// Head of the answer.
     pub head: Box<AnswerHead>,
-    /// The body.
+    /// Receives the body of the answer.
     pub body: BodyReceiver,
-    /// Sends the rest of the request's body; ends with the response.
+    /// Task that sends the rest of the request body; it is stopped when the response
+    /// is dropped.
     _upload: Option<Upload>,
 }
 
-/// What became of an attempt.
+/// How an attempt ended.
 pub struct AttemptOutcome {
-    /// The attempt.
+    /// ID of the attempt that ended.
     pub attempt: AttemptId,
-    /// What the policy is told.
+    /// The answer as it is reported to the policy.
     pub answer: AttemptAnswer,
-    /// The answer, if one came.
+    /// The response, if one was received.
     pub response: Option<AttemptResponse>,
 }
 
 impl AttemptOutcome {
-    /// The attempt was not sent.
+    /// The outcome of an attempt that was not sent.
     pub fn not_sent(dispatch: &Dispatch) -> Self {
         let lent = dispatch.context.allowance;
         AttemptOutcome {
@@ -66,7 +68,7 @@
     }
 }
 
-/// A task that is stopped when this is dropped.
+/// An upload task, which is stopped when this is dropped.
 struct Upload(JoinHandle<()>);
 
 impl Drop for Upload {
@@ -75,13 +77,13 @@
     }
 }
 
-/// Where an attempt goes and what it carries.
+/// An attempt to send, with its destination and context.
 pub struct Dispatch {
-    /// The attempt.
+    /// ID of the attempt to send.
     pub attempt: AttemptId,
-    /// The node it goes to.
+    /// The node to which the attempt is sent.
     pub server: NodeId,
-    /// What it carries.
+    /// The request context that the attempt carries.
     pub context: RequestContext,
 }
 
@@ -148,7 +150,7 @@
     })
 }
 
-/// A small body is queued at once; a large one is sent by a task, because the
+/// Queues a buffered body at once; a streamed one is sent by a task, because the
 /// answer may begin before the body ends.
 async fn send_body(mut sender: BodySender, body: RequestBody) -> Option<Upload> {
     match body {
@@ -169,7 +171,8 @@
     }
 }
 
-/// `None` if the caller's body broke off or the attempt ended.
+/// Sends a streamed body. `None` if the caller's body ended early or the attempt
+/// ended.
 async fn forward(sender: &mut BodySender, start: Bytes, mut rest: Incoming) -> Option<()> {
     sender.send(start).await.ok()?;
     while let Some(frame) = rest.frame().await {
@@ -188,8 +191,8 @@
     }
 }
 
-/// An attempt that never left gives back all it was lent; of one that was lost,
-/// everything counts as spent.
+/// The answer reported for a failed attempt. An attempt that was not sent returns
+/// all retries lent to it; if it may have been sent, all of them count as spent.
 fn answer_of_failure(failure: AttemptFailure, lent: RetryAllowance) -> AttemptAnswer {
     let reason = RefusalReason::ConnectionFailed;
     let (result, unspent) = match failure {
--- a/crates/daemon/src/traffic/mod.rs
+++ b/crates/daemon/src/traffic/mod.rs
@@ -1,11 +1,11 @@
-//! Calls and attempts on their way through the node.
+//! Calls and attempts that pass through the node.
 //!
 //! - [`call`]: one call of a local caller, from its request to its answer;
-//! - [`attempt`]: one attempt of another node, from its arrival to the last byte
+//! - [`attempt`]: one attempt from another node, from its arrival to the last byte
 //!   of the back end's answer.
 //!
-//! Each is a task that reports events to the control thread, receives the
-//! effects decided for it, and moves the bytes.
+//! Each call and attempt has a task that reports events to the control thread,
+//! receives the effects decided for it, and transfers the request and answer.
 
 pub mod answer;
 pub mod attempt;
@@ -36,42 +36,43 @@
 use lifthollow_transport::clock::Clock;
 use parents::Parents;
 
-/// What all calls and attempts of a node share.
+/// State shared by all calls and attempts of a node.
 pub struct Traffic {
     /// The process's clock.
     pub clock: Clock,
-    /// The control thread.
+    /// Sends messages to the control thread.
     pub control: ControlHandle,
     /// State posted by the control thread.
     pub shared: Arc<SharedState>,
     /// Connections to other nodes.
     pub peers: PeerPool,
-    /// Connections to the back ends beside the node.
+    /// Connections to the local back ends.
     pub backends: BTreeMap<ServiceName, BackendPool>,
-    /// Attempts whose back ends may make calls of their own.
+    /// Attempts whose back ends may make nested calls.
     pub parents: Parents,
-    /// Calls and attempts in progress.
+    /// Count of calls and attempts in progress.
     pub in_progress: InProgress,
-    /// Counters.
+    /// The node's metrics.
     pub metrics: Arc<Metrics>,
-    /// Largest body held so that a retry can send it again.
+    /// Largest body that is buffered so that a retry can send it again, bytes.
     pub buffered_body_bytes: usize,
     /// The node's data centre.
     pub side: Side,
-    /// A number that no other process has, for identities of requests.
+    /// A random number that identifies the process; it makes request IDs and context
+    /// tokens unique.
     pub process_nonce: u64,
     numbers: Numbers,
     leaving: AtomicBool,
 }
 
-/// The last numbers given to calls and attempts.
+/// The last IDs given to calls and attempts.
 #[derive(Debug, Default)]
 struct Numbers {
     call: AtomicU64,
     inbound: AtomicU64,
 }
 
-/// The parts of [`Traffic`] that the daemon makes.
+/// The parts from which the daemon creates [`Traffic`].
 pub struct TrafficParts {
     /// See [`Traffic::clock`].
     pub clock: Clock,
@@ -94,7 +95,7 @@
 }
 
 impl Traffic {
-    /// Traffic with nothing in progress.
+    /// Creates the state with no call or attempt in progress.
     pub fn new(parts: TrafficParts) -> Self {
         Traffic {
             clock: parts.clock,
@@ -113,7 +114,8 @@
         }
     }
 
-    /// From now on calls that belong to no attempt in progress are refused.
+    /// Marks the node as leaving: from now on calls that belong to no attempt in
+    /// progress are refused.
     pub fn leave(&self) {
         self.leaving.store(true, Ordering::Release);
     }
@@ -123,7 +125,8 @@
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// The pool of a local service, with the table's ceiling of connections.
+    /// The connection pool of a local service, limited to the number of connections
+    /// that the table sets.
     fn backend(&self, service: &ServiceName) -> Option<&BackendPool> {
         let pool = self.backends.get(service)?;
         if let Some(row) = self.shared.view().table.row(service, self.side) {
@@ -140,7 +143,7 @@
         InboundId(self.numbers.inbound.fetch_add(1, Ordering::Relaxed) + 1)
     }
 
-    /// The identity of a request whose client gave it no name.
+    /// The request ID of a request that has no name given by its client.
     fn unnamed_request(&self, call: CallId) -> RequestId {
         RequestId::from_name(&format!("{:016x}-{}", self.process_nonce, call.0))
     }
--- a/crates/daemon/src/traffic/parents.rs
+++ b/crates/daemon/src/traffic/parents.rs
@@ -1,7 +1,7 @@
-//! The attempts whose back ends may make calls of their own.
+//! The attempts in progress whose back ends may make nested calls.
 //!
 //! A back end copies the opaque `lifthollow-context` header of the call it runs
-//! to the calls it makes. That ties them to their parent.
+//! to the calls it makes. The header links these calls to their parent attempt.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -11,16 +11,17 @@
 use lifthollow_coordination::inbound::InboundId;
 use lifthollow_state::RequestContext;
 
-/// The value of `lifthollow-context`: an attempt in progress in one process.
+/// The value of the `lifthollow-context` header. It identifies an attempt in
+/// progress and the process that runs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ContextToken {
     process: u64,
     attempt: InboundId,
 }
 
-/// The text is not a context of any process.
+/// The text is not a valid context token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a value that a node handed out")]
+#[error("not a context token issued by a node")]
 pub struct MalformedToken;
 
 impl fmt::Display for ContextToken {
@@ -46,21 +47,21 @@
     }
 }
 
-/// Contexts of the attempts that run beside this node.
+/// The request contexts of the attempts in progress on this node.
 #[derive(Debug)]
 pub struct Parents {
     process: u64,
     contexts: Arc<Mutex<HashMap<InboundId, RequestContext>>>,
 }
 
-/// Keeps an attempt listed until it is dropped.
+/// Removes its attempt from [`Parents`] when dropped.
 pub struct ParentGuard {
     attempt: InboundId,
     contexts: Arc<Mutex<HashMap<InboundId, RequestContext>>>,
 }
 
 impl Parents {
-    /// An empty list of the process with this nonce.
+    /// Creates an empty list for the process with this nonce.
     pub fn new(process: u64) -> Self {
         Parents {
             process,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Lists an attempt.
+    /// Adds an attempt; it is removed when the guard is dropped.
     pub fn insert(&self, attempt: InboundId, context: RequestContext) -> ParentGuard {
         lock(&self.contexts).insert(attempt, context);
         ParentGuard {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// The value handed to the back end that runs `attempt`.
+    /// The token that is sent to the back end that runs `attempt`.
     pub fn token(&self, attempt: InboundId) -> ContextToken {
         ContextToken {
             process: self.process,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// The attempt that a token names, if it is still in progress here.
+    /// The attempt that a token identifies, if it is still in progress on this node.
     pub fn find(&self, token: ContextToken) -> Option<(InboundId, RequestContext)> {
         if token.process != self.process {
             return None;
--- a/crates/daemon/src/traffic/request_body.rs
+++ b/crates/daemon/src/traffic/request_body.rs
@@ -1,5 +1,5 @@
-//! A caller's request body: small ones are held so that a retry can send them
-//! again, large ones are streamed.
+//! Bodies of callers' requests: small ones are buffered so that a retry can send
+//! them again, large ones are streamed.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -9,24 +9,24 @@
 /// before the call starts, because its digest is part of the claim.
 pub const MAX_KEYED_BODY_BYTES: usize = 1024 * 1024;
 
-/// A body as it is sent to other nodes.
+/// A request body as it is sent to other nodes.
 pub enum RequestBody {
     /// The whole body, which can be sent again.
     Buffered(Bytes),
-    /// The first bytes and the rest, which can be sent once.
+    /// The first bytes and the unread rest, which can be sent only once.
     Streaming {
-        /// What was read already.
+        /// The bytes that are already read.
         start: Bytes,
-        /// What is still to come.
+        /// The rest of the body, not yet read.
         rest: Incoming,
     },
 }
 
-/// Why a body was not read.
+/// Why a request body could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The caller went away or broke the rules of HTTP.
-    #[error("the request's body broke off: {0}")]
+    /// The caller closed the connection or violated the HTTP protocol.
+    #[error("the request body ended early: {0}")]
     Broken(#[from] hyper::Error),
     /// The call has an idempotency key and a body too large to be read whole.
     #[error(
@@ -35,7 +35,7 @@
     KeyedTooLarge,
 }
 
-/// Reads a body whole if it is at most `limit` bytes long.
+/// Buffers a body of at most `limit` bytes; a longer one is left to be streamed.
 pub async fn read(mut incoming: Incoming, limit: usize) -> Result<RequestBody, ReadError> {
     if incoming.is_end_stream() {
         return Ok(RequestBody::Buffered(Bytes::new()));
@@ -56,7 +56,7 @@
     Ok(RequestBody::Buffered(start.freeze()))
 }
 
-/// Reads the body of a call with an idempotency key, always whole.
+/// Reads the whole body of a call with an idempotency key.
 pub async fn read_keyed(incoming: Incoming) -> Result<RequestBody, ReadError> {
     match read(incoming, MAX_KEYED_BODY_BYTES).await? {
         RequestBody::Streaming { .. } => Err(ReadError::KeyedTooLarge),
--- a/crates/daemon/src/traffic/run.rs
+++ b/crates/daemon/src/traffic/run.rs
@@ -1,4 +1,4 @@
-//! Running an attempt on the back end beside this node.
+//! Running an attempt on this node's local back end.
 
 use std::time::Duration;
 
@@ -23,17 +23,17 @@
 /// before running it.
 const NOT_RUN: &str = "lifthollow-not-run";
 const YES: &str = "yes";
-/// When a back end that names no time may be called again.
+/// Time after which a back end may be called again if its refusal names none.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Value of `host` if the caller sent none.
+/// Value of the `host` header if the caller sent none.
 const DEFAULT_HOST: HeaderValue = HeaderValue::from_static("localhost");
 
-/// The open frame describes no HTTP request.
+/// The open frame does not describe a valid HTTP request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the attempt's method or path is not valid")]
 pub struct InvalidRequest;
 
-/// The request for the back end.
+/// Builds the HTTP request for the back end.
 pub fn backend_request(
     open: &Open,
     body: BodyReceiver,
@@ -64,12 +64,14 @@
     StreamBody::new(frames).boxed_unsync()
 }
 
-/// What the policy is told of the back end's answer.
+/// The result of a run as it is reported to the policy.
 pub fn run_result(answer: &Result<Response<BackendBody>, BackendError>) -> RunResult {
     match answer {
-        Ok(response) if is_shed(response.status(), response.headers()) => RunResult::Refused {
-            retry_after: retry_after(response.headers()),
-        },
+        Ok(response) if is_shed_response(response.status(), response.headers()) => {
+            RunResult::Refused {
+                retry_after: retry_after(response.headers()),
+            }
+        }
         Ok(response) => RunResult::Completed {
             success: !response.status().is_server_error(),
         },
@@ -80,10 +82,11 @@
     }
 }
 
-/// Only a back end that says so is known not to have run the call.
-fn is_shed(status: StatusCode, headers: &HeaderMap) -> bool {
-    let says_so = headers.get(NOT_RUN).is_some_and(|value| value == YES);
-    status == StatusCode::SERVICE_UNAVAILABLE && says_so
+/// Whether the back end shed the call. Only the header [`NOT_RUN`] shows reliably
+/// that it did not run the call; the status alone does not.
+fn is_shed_response(status: StatusCode, headers: &HeaderMap) -> bool {
+    let has_not_run_header = headers.get(NOT_RUN).is_some_and(|value| value == YES);
+    status == StatusCode::SERVICE_UNAVAILABLE && has_not_run_header
 }
 
 fn retry_after(headers: &HeaderMap) -> Duration {
