--- a/crates/daemon/src/traffic/run.rs
+++ b/crates/daemon/src/traffic/run.rs
@@ -67,11 +67,9 @@
 /// The result of a run as it is reported to the policy.
 pub fn run_result(answer: &Result<Response<BackendBody>, BackendError>) -> RunResult {
     match answer {
-        Ok(response) if is_shed_response(response.status(), response.headers()) => {
-            RunResult::Refused {
-                retry_after: retry_after(response.headers()),
-            }
-        }
+        Ok(response) if is_shed(response.status(), response.headers()) => RunResult::Refused {
+            retry_after: retry_after(response.headers()),
+        },
         Ok(response) => RunResult::Completed {
             success: !response.status().is_server_error(),
         },
@@ -84,7 +82,7 @@
 
 /// Whether the back end shed the call. Only the header [`NOT_RUN`] shows reliably
 /// that it did not run the call; the status alone does not.
-fn is_shed_response(status: StatusCode, headers: &HeaderMap) -> bool {
+fn is_shed(status: StatusCode, headers: &HeaderMap) -> bool {
     let has_not_run_header = headers.get(NOT_RUN).is_some_and(|value| value == YES);
     status == StatusCode::SERVICE_UNAVAILABLE && has_not_run_header
 }
