--- a/crates/daemon/examples/hop_latency/arguments.rs
+++ b/crates/daemon/examples/hop_latency/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of the benchmark.
 
 use std::path::PathBuf;
 
@@ -7,10 +7,10 @@
 /// Measures what one hop through two lifthollowd processes adds to a direct call.
 #[derive(FromArgs)]
 pub struct Arguments {
-    /// the program to measure
+    /// path of the lifthollowd program to measure
     #[argh(option, default = "PathBuf::from(\"target/release/lifthollowd\")")]
     pub lifthollowd: PathBuf,
-    /// worker threads for calls of each node
+    /// number of worker threads for calls in each node
     #[argh(option)]
     pub call_threads: Option<String>,
     /// calls a second of the loaded phase (default 755)
@@ -22,7 +22,7 @@
     /// measurements of each kind in each phase (default 3)
     #[argh(option, default = "3")]
     pub rounds: u32,
-    /// also measure processor time by body size and by connections
+    /// also measure how CPU time depends on body size and on connections
     #[argh(switch)]
     pub slopes: bool,
 }
--- a/crates/daemon/examples/hop_latency/client.rs
+++ b/crates/daemon/examples/hop_latency/client.rs
@@ -1,4 +1,4 @@
-//! The load: calls at a steady rate over kept connections.
+//! The load generator: calls at a constant rate over persistent connections.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -16,14 +16,14 @@
 use crate::new_histogram;
 use crate::surroundings::SERVICE;
 
-/// Where calls go.
+/// The address to which calls are sent, and whether it belongs to a node.
 pub struct Target {
     address: SocketAddr,
     through_nodes: bool,
 }
 
 impl Target {
-    /// Straight to the back end.
+    /// Calls that are sent directly to the back end.
     pub fn direct(address: SocketAddr) -> Self {
         Target {
             address,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Through a node's caller port.
+    /// Calls that are sent to a node's port for callers.
     pub fn through_nodes(address: SocketAddr) -> Self {
         Target {
             address,
@@ -40,7 +40,7 @@
     }
 }
 
-/// How much load, for how long.
+/// The load of one measurement: calls a second, duration, connections and body size.
 pub struct Load {
     pub rate: u32,
     pub seconds: Duration,
@@ -48,8 +48,8 @@
     pub body_bytes: usize,
 }
 
-/// Makes the calls and returns their latencies in nanoseconds. The rate is held
-/// whatever the answers take, as long as a connection is free.
+/// Makes the calls and returns their latencies in nanoseconds. The rate does not
+/// depend on how long answers take, as long as a connection is free.
 pub async fn run_load(target: &Target, load: &Load) -> Result<Histogram<u64>> {
     let (ticks, due) = flume::unbounded::<()>();
     let mut workers = JoinSet::new();
@@ -97,7 +97,10 @@
         ensure!(response.status().is_success(), "{response:?}");
         let received = response.into_body().collect().await?.to_bytes();
         latencies.record(start.elapsed().as_nanos() as u64)?;
-        ensure!(received.len() == body.len(), "the answer is not the body");
+        ensure!(
+            received.len() == body.len(),
+            "the answer's length differs from that of the request body"
+        );
     }
     Ok(latencies)
 }
@@ -111,7 +114,9 @@
 }
 
 async fn connect(address: SocketAddr) -> Result<SendRequest<Full<Bytes>>> {
-    let socket = TcpStream::connect(address).await.context("connect")?;
+    let socket = TcpStream::connect(address)
+        .await
+        .context("failed to connect")?;
     socket.set_nodelay(true)?;
     let handshake = hyper::client::conn::http1::handshake(TokioIo::new(socket));
     let (sender, connection) = handshake.await?;
--- a/crates/daemon/examples/hop_latency/main.rs
+++ b/crates/daemon/examples/hop_latency/main.rs
@@ -1,8 +1,8 @@
-//! Measures the latency and the processor time that one hop through two real
+//! Measures the latency and the CPU time that one hop through two real
 //! `lifthollowd` processes adds to a direct call on loopback.
 //!
-//! Direct calls and calls through the hop are made in turn, in rounds, by the
-//! same client to the same back end. Prints one JSON object a line; the last
+//! The same client makes direct calls and calls through the hop to the same back
+//! end, alternating in rounds. Prints one JSON object a line; the last
 //! one is the summary. It is a benchmark, not a test.
 
 mod arguments;
@@ -22,15 +22,16 @@
 use report::{PhaseReport, Slopes, Summary, print};
 use surroundings::Surroundings;
 
-/// Calls a second at which a node counts as unloaded.
+/// Calls a second in the phase in which the nodes count as unloaded.
 const LOW_RATE: u32 = 50;
-/// Body sizes whose processor time gives the slope with size, bytes.
+/// Body sizes, in bytes, from whose CPU times the slope over size is fitted.
 const BODY_SIZES: [usize; 4] = [0, 4 * 1024, 16 * 1024, 64 * 1024];
-/// Counts of callers' connections whose processor time gives their slope.
+/// Numbers of callers' connections from whose CPU times the slope over connections
+/// is fitted.
 const CONNECTION_COUNTS: [usize; 3] = [8, 64, 256];
 /// Calls a second while slopes are measured.
 const SLOPE_RATE: u32 = 400;
-/// Callers' connections unless their count is varied.
+/// Number of callers' connections where it is not varied.
 const DEFAULT_CONNECTIONS: usize = 32;
 
 fn main() -> Result<()> {
@@ -99,7 +100,7 @@
         Ok(())
     }
 
-    /// Both ways in turn at one rate.
+    /// Measures direct calls and calls through the hop, alternating, at one rate.
     async fn compare(&self, phase: &'static str, rate: u32) -> Result<PhaseReport> {
         let load = self.load(rate, self.seconds);
         let mut direct = new_histogram()?;
@@ -138,7 +139,7 @@
         Ok(Slopes::new(by_size, by_connections))
     }
 
-    /// Microseconds of both nodes for one call.
+    /// CPU time that both nodes together spend on one call, microseconds.
     async fn processor_time_per_call(&self, load: &Load) -> Result<f64> {
         let before = self.nodes.processor_time()?;
         let latencies = run_load(&self.hop(), load).await?;
--- a/crates/daemon/examples/hop_latency/nodes.rs
+++ b/crates/daemon/examples/hop_latency/nodes.rs
@@ -12,13 +12,13 @@
 use crate::arguments::Arguments;
 use crate::surroundings::{LOOPBACK, SERVICE, Surroundings};
 
-/// The system's unit of processor time in `/proc/PID/stat`: 1/100 s.
+/// The system's unit of CPU time in `/proc/PID/stat`: 1/100 s.
 const CLOCK_TICK: Duration = Duration::from_millis(10);
-/// Fields of `/proc/PID/stat` behind the program's name up to `utime`.
+/// Number of fields of `/proc/PID/stat` between the program's name and `utime`.
 const FIELDS_BEFORE_USER_TIME: usize = 11;
 const POLL: Duration = Duration::from_millis(20);
 
-/// The log record that tells where a node listens.
+/// The log record with the addresses at which a node listens.
 #[derive(Deserialize)]
 struct Listening {
     node: String,
@@ -26,7 +26,7 @@
     operators: SocketAddr,
 }
 
-/// One process. It is killed if it is dropped before [`Process::stop`].
+/// One node's process, which is killed when this is dropped.
 struct Process {
     child: Child,
     listening: Listening,
@@ -39,26 +39,26 @@
     }
 }
 
-/// A node for callers and a node beside the back end.
+/// An entry node, which callers use, and a server node with the local back end.
 pub struct NodePair {
-    /// Where calls go in.
+    /// Address of the entry node for callers.
     pub callers: SocketAddr,
     entry: Process,
     server: Process,
 }
 
 impl NodePair {
-    /// Starts both and waits until they know each other.
+    /// Starts both nodes and waits until they know each other.
     pub async fn start(arguments: &Arguments, surroundings: &Surroundings) -> Result<Self> {
         let program = &arguments.lifthollowd;
-        let mut more = Vec::new();
+        let mut extra_arguments = Vec::new();
         if let Some(call_threads) = &arguments.call_threads {
-            more.extend(["--call-threads", call_threads]);
+            extra_arguments.extend(["--call-threads", call_threads]);
         }
-        let entry = Process::start(program, surroundings, &more)?;
+        let entry = Process::start(program, surroundings, &extra_arguments)?;
         let backend = format!("{SERVICE}={}", surroundings.backend);
-        more.extend(["--backend", &backend]);
-        let server = Process::start(program, surroundings, &more)?;
+        extra_arguments.extend(["--backend", &backend]);
+        let server = Process::start(program, surroundings, &extra_arguments)?;
         surroundings.list(&server.listening.node);
         for process in [&entry, &server] {
             process.wait_until_ready().await?;
@@ -70,12 +70,12 @@
         })
     }
 
-    /// Processor time that both have spent so far.
+    /// CPU time that both nodes have used so far.
     pub fn processor_time(&self) -> Result<Duration> {
         Ok(self.entry.processor_time()? + self.server.processor_time()?)
     }
 
-    /// Ends both.
+    /// Kills both nodes.
     pub async fn stop(self) -> Result<()> {
         drop(self);
         Ok(())
@@ -83,7 +83,11 @@
 }
 
 impl Process {
-    fn start(program: &Path, surroundings: &Surroundings, more: &[&str]) -> Result<Self> {
+    fn start(
+        program: &Path,
+        surroundings: &Surroundings,
+        extra_arguments: &[&str],
+    ) -> Result<Self> {
         let any = LOOPBACK.to_string();
         let platform = surroundings.platform.to_string();
         let mut child = Command::new(program)
@@ -91,21 +95,24 @@
             .args(["--side", "old", "--zone", "1"])
             .args(["--platform-table", &platform])
             .args(["--platform-machines", &platform])
-            .args(more)
+            .args(extra_arguments)
             .stdout(Stdio::piped())
             .spawn()
-            .with_context(|| format!("{}", program.display()))?;
-        let stdout = child.stdout.take().context("no standard output")?;
+            .with_context(|| format!("failed to start {}", program.display()))?;
+        let stdout = child
+            .stdout
+            .take()
+            .context("the node has no standard output")?;
         let mut lines = BufReader::new(stdout).lines();
         let listening = loop {
             let Some(line) = lines.next() else {
-                bail!("the node ended before it listened");
+                bail!("the node ended before it logged its addresses");
             };
             if let Ok(listening) = serde_json::from_str(&line?) {
                 break listening;
             }
         };
-        // The log is read to its end, so that the node never waits for it.
+        // The log is read to its end, so that the node never blocks on a full pipe.
         std::thread::spawn(move || lines.for_each(drop));
         Ok(Process { child, listening })
     }
@@ -125,7 +132,9 @@
     fn processor_time(&self) -> Result<Duration> {
         let path = format!("/proc/{}/stat", self.child.id());
         let text = std::fs::read_to_string(path)?;
-        let (_, fields) = text.rsplit_once(") ").context("a process's stat")?;
+        let (_, fields) = text
+            .rsplit_once(") ")
+            .context("/proc/PID/stat has no program name")?;
         let times = fields.split(' ').skip(FIELDS_BEFORE_USER_TIME).take(2);
         let ticks: u32 = times.map(|field| field.parse().unwrap_or(0)).sum();
         Ok(CLOCK_TICK * ticks)
--- a/crates/daemon/examples/hop_latency/report.rs
+++ b/crates/daemon/examples/hop_latency/report.rs
@@ -1,18 +1,18 @@
-//! What is printed.
+//! The results that the benchmark prints.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Latencies in microseconds.
+/// Latency percentiles in microseconds.
 #[derive(Clone, Copy, Serialize)]
 pub struct Latencies {
     pub p50: f64,
     pub p99: f64,
 }
 
-/// One phase: direct and through the hop at one rate.
+/// The results of one phase: direct calls and calls through the hop at one rate.
 #[derive(Serialize)]
 pub struct PhaseReport {
     pub what: &'static str,
@@ -21,17 +21,17 @@
     pub direct_micros: Latencies,
     pub hop_micros: Latencies,
     pub added_micros: Latencies,
-    /// Of both nodes together.
+    /// CPU time of both nodes together for one call.
     pub processor_micros_per_call: f64,
 }
 
-/// How processor time for a call grows.
+/// How the CPU time of a call grows with body size and with connections.
 #[derive(Serialize)]
 pub struct Slopes {
-    /// Body bytes (sent and returned) and microseconds for a call.
+    /// Pairs of body bytes (sent and returned) and CPU microseconds for a call.
     pub by_body_bytes: Vec<(f64, f64)>,
     pub micros_per_kibibyte: f64,
-    /// Callers' connections and microseconds for a call.
+    /// Pairs of callers' connections and CPU microseconds for a call.
     pub by_connections: Vec<(f64, f64)>,
     pub micros_per_connection: f64,
 }
@@ -95,7 +95,7 @@
     }
 }
 
-/// Least squares.
+/// The slope of the least-squares line through `points`.
 fn slope(points: &[(f64, f64)]) -> f64 {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
--- a/crates/daemon/examples/hop_latency/surroundings.rs
+++ b/crates/daemon/examples/hop_latency/surroundings.rs
@@ -1,4 +1,4 @@
-//! A platform and an echoing back end, inside the benchmark's process.
+//! A simulated platform and an echo back end, inside the benchmark's process.
 
 use std::convert::Infallible;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -15,7 +15,7 @@
 
 /// The service that is called.
 pub const SERVICE: &str = "echo";
-/// Any free port of loopback.
+/// A loopback address whose port the system chooses.
 pub const LOOPBACK: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
 
 const TABLE: &str = "lifthollow-table,1
@@ -24,7 +24,7 @@
 echo,new,0,200,200,200,normal,yes,5000
 ";
 
-/// What a node needs around it.
+/// The platform's service and the back end that the nodes use.
 pub struct Surroundings {
     pub platform: SocketAddr,
     pub backend: SocketAddr,
@@ -38,7 +38,7 @@
         let platform = serve(move |request| {
             let text = match request.uri().path() {
                 "/table" => TABLE.to_owned(),
-                _ => listed.lock().expect("no panic holds it").clone(),
+                _ => listed.lock().expect("no holder of the lock panics").clone(),
             };
             async move { Ok(Bytes::from(text)) }
         });
@@ -53,12 +53,12 @@
         })
     }
 
-    /// Lists the node beside the back end.
+    /// Adds the node with the local back end to the platform's list of machines.
     pub fn list(&self, node: &str) {
         let line = format!("{node},{SERVICE},old,1,live\n");
         self.machines
             .lock()
-            .expect("no panic holds it")
+            .expect("no holder of the lock panics")
             .push_str(&line);
     }
 }
