--- a/crates/daemon/tests/call_path.rs
+++ b/crates/daemon/tests/call_path.rs
@@ -1,4 +1,4 @@
-//! Calls from a caller through two nodes to a back end and back.
+//! Tests of a call from a caller through two nodes to a back end, and its answer.
 
 mod support;
 
--- a/crates/daemon/tests/cancellation.rs
+++ b/crates/daemon/tests/cancellation.rs
@@ -1,4 +1,5 @@
-//! A caller that goes away is noticed down to the back end.
+//! Tests that a call is cancelled at the back end when its caller closes the
+//! connection.
 
 mod support;
 
@@ -17,7 +18,7 @@
     Cancelled,
 }
 
-/// Tells when the future that holds it is dropped.
+/// Reports that the future which holds it was dropped.
 struct DropReport(flume::Sender<Seen>);
 
 impl Drop for DropReport {
@@ -40,26 +41,26 @@
     (address, seen)
 }
 
-async fn call_and(hang_up: impl AsyncFnOnce(TcpStream)) {
+async fn assert_call_is_cancelled_by(disconnect: impl AsyncFnOnce(TcpStream)) {
     let (address, seen) = silent_backend().await;
     let pair = Pair::start("feeds", ROW, address).await;
     let mut caller = TcpStream::connect(pair.callers()).await.unwrap();
     caller.write_all(REQUEST).await.unwrap();
     assert_eq!(seen.recv_async().await.unwrap(), Seen::Started);
-    hang_up(caller).await;
+    disconnect(caller).await;
     assert_eq!(seen.recv_async().await.unwrap(), Seen::Cancelled);
     pair.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn hanging_up_cancels_the_call_at_the_back_end() {
-    call_and(async |caller| drop(caller)).await;
+async fn closed_connection_of_the_caller_cancels_the_call_at_the_back_end() {
+    assert_call_is_cancelled_by(async |caller| drop(caller)).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn half_closed_caller_counts_as_hung_up() {
+async fn half_closed_connection_of_the_caller_cancels_the_call() {
     let (sender, kept) = flume::bounded(1);
-    call_and(async |mut caller| {
+    assert_call_is_cancelled_by(async |mut caller| {
         caller.shutdown().await.unwrap();
         sender.send(caller).unwrap();
     })
--- a/crates/daemon/tests/claims.rs
+++ b/crates/daemon/tests/claims.rs
@@ -1,4 +1,5 @@
-//! Calls with an idempotency key through two nodes, of which one stores claims.
+//! Tests of calls with an idempotency key through two nodes, one of which stores
+//! claims.
 
 mod support;
 
@@ -19,7 +20,7 @@
 const SERVICE: &str = "orders";
 const ROW: &str = "orders,100,10,10,10,critical,no,2000";
 
-/// A port that the system says is free.
+/// An address with a port that was free when it was chosen.
 fn free_address() -> SocketAddrV4 {
     let listener = std::net::TcpListener::bind(LOOPBACK).unwrap();
     match listener.local_addr().unwrap() {
@@ -84,7 +85,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_repeated_order_runs_once_and_is_given_the_same_answer() {
+async fn repeated_call_with_a_key_runs_once_and_gets_the_recorded_answer() {
     let runs = Arc::new(AtomicU32::new(0));
     let pair = claiming_pair(runs.clone()).await;
     let (once, again) = call_twice(&pair, "10 lev", "10 lev").await;
@@ -101,7 +102,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_with_another_body_is_refused_with_a_clear_error() {
+async fn key_reused_with_another_body_is_refused_as_key_reused() {
     let runs = Arc::new(AtomicU32::new(0));
     let pair = claiming_pair(runs.clone()).await;
     let (_, again) = call_twice(&pair, "10 lev", "20 lev").await;
@@ -113,7 +114,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_without_a_roster_refuses_keys_and_runs_other_calls() {
+async fn node_without_a_roster_refuses_calls_with_a_key_and_runs_others() {
     let runs = Arc::new(AtomicU32::new(0));
     let counted = runs.clone();
     let address = backend(move |_| {
@@ -132,7 +133,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn operators_see_the_claim_of_a_key() {
+async fn claim_page_shows_the_record_of_a_key() {
     let pair = claiming_pair(Arc::default()).await;
     call(pair.callers(), order("order-1", "10 lev")).await;
     let claim = operators(&pair.server, "/claims?service=orders&key=order-1").await;
@@ -147,7 +148,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_client_shows_the_claim_of_a_key_with_slashes() {
+async fn ctl_claim_accepts_a_key_with_slashes_and_spaces() {
     let pair = claiming_pair(Arc::default()).await;
     call(pair.callers(), order("till-7/order 1", "10 lev")).await;
     let text = ctl("claim", &pair.server, &["orders", "till-7/order 1"]).await;
@@ -170,7 +171,7 @@
 }
 
 #[test]
-fn faults_of_the_roster_file_are_reported_together_with_their_places() {
+fn faults_of_the_roster_file_are_all_reported_with_their_places() {
     let directory = std::env::temp_dir();
     let name = format!("lifthollow-roster-{}.csv", std::process::id());
     let path = directory.join(name);
--- a/crates/daemon/tests/environment.rs
+++ b/crates/daemon/tests/environment.rs
@@ -1,9 +1,9 @@
-//! What the environment of `lifthollowd` must not change.
+//! Tests that environment variables do not change the behaviour of `lifthollowd`.
 
 use std::net::TcpListener;
 use std::process::{Child, Command, Stdio};
 
-/// A running program, ended with the test.
+/// A running node, killed when the test ends.
 struct Running(Child);
 
 impl Drop for Running {
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_platform_is_read_without_the_proxy_of_the_environment() {
+fn proxy_of_the_environment_is_not_used_to_read_the_platform() {
     let proxy = TcpListener::bind("127.0.0.1:0").unwrap();
     let platform = TcpListener::bind("127.0.0.1:0").unwrap();
     let (proxy_address, address) = (proxy.local_addr().unwrap(), platform.local_addr().unwrap());
--- a/crates/daemon/tests/operators_client.rs
+++ b/crates/daemon/tests/operators_client.rs
@@ -1,4 +1,4 @@
-//! `lifthollowctl` against running nodes: it understands what they serve.
+//! Tests of `lifthollowctl` against running nodes.
 
 mod support;
 
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn members_lists_the_servers_and_leaving_names_none() {
+async fn members_lists_the_servers_and_leaving_lists_none() {
     let pair = pair().await;
     let node = pair.server.addresses().node;
     let text = ctl("members", &pair.entry, &[]).await;
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn status_of_all_shows_the_table_of_each_node_and_who_is_behind() {
+async fn status_all_shows_the_table_of_each_node_and_the_number_behind() {
     let pair = pair().await;
     let server = pair.server.addresses().node;
     eventually(async || {
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn status_shows_why_a_published_table_is_not_taken() {
+async fn status_shows_why_a_published_table_was_refused() {
     let pair = pair().await;
     let bad = table(2, "feeds,100,0,10,10,normal,yes,2000");
     *pair.platform.table.lock().unwrap() = bad;
@@ -80,7 +80,8 @@
     assert!(text.contains("\ntable:4:4: `max_in_flight`"), "{text}");
     *pair.platform.table.lock().unwrap() = table(3, &format!("feeds,{ROW}"));
     pair.wait_for_table(3).await;
-    // The new table may come from the other node before the platform is read again.
+    // The node may receive the new table from the other node before it reads the
+    // platform again.
     eventually(async || {
         let text = ctl("status", &pair.entry, &[]).await;
         !text.contains("not taken")
@@ -90,7 +91,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_and_members_show_a_node_that_the_list_says_leaves() {
+async fn leaving_and_members_show_a_node_listed_as_leaving() {
     let pair = pair().await;
     let server = pair.server.addresses().node;
     let line = format!("{server},feeds,old,1,leaving");
--- a/crates/daemon/tests/outcomes.rs
+++ b/crates/daemon/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! What callers are told: complete, not run, unknown.
+//! Tests of the outcome that callers are given: complete, not run or unknown.
 
 mod support;
 
@@ -18,7 +18,7 @@
 const ROW: &str = "100,50,50,50,normal,no,60000";
 
 #[tokio::test(flavor = "multi_thread")]
-async fn back_end_that_cannot_be_reached_did_not_run_the_call() {
+async fn call_to_an_unreachable_back_end_is_answered_not_run() {
     let listener = TcpListener::bind(LOOPBACK).await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn back_end_that_sheds_says_that_it_did_not_run_the_call() {
+async fn call_shed_by_the_back_end_is_answered_not_run() {
     let address = backend(|_| {
         let response = Response::builder().status(StatusCode::SERVICE_UNAVAILABLE);
         let response = response.header("retry-after", "3");
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn error_of_a_back_end_that_ran_the_call_is_its_answer() {
+async fn error_response_of_the_back_end_is_passed_on_as_complete() {
     let address = backend(|_| {
         let response = Response::builder().status(StatusCode::SERVICE_UNAVAILABLE);
         let response = response.body(full("no stock")).unwrap();
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn back_end_that_closes_after_the_request_may_have_run_the_call() {
+async fn connection_closed_by_the_back_end_after_the_request_is_answered_unknown() {
     let listener = TcpListener::bind(LOOPBACK).await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn late_answers_out_of_order_reach_their_own_callers() {
+async fn answers_out_of_order_reach_their_own_callers() {
     const CALLS: usize = 20;
     let (started, waiting) = flume::unbounded::<tokio::sync::oneshot::Sender<()>>();
     let address = backend(move |request| {
@@ -158,7 +158,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn faults_of_the_headers_are_reported_together_and_nothing_runs() {
+async fn faults_of_headers_are_reported_together_and_the_call_is_not_run() {
     let runs = Mutex::new(0);
     let address = backend(move |_| {
         *runs.lock().unwrap() += 1;
@@ -178,14 +178,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn oversized_headers_are_refused_and_the_node_goes_on() {
+async fn oversized_headers_are_refused_and_later_calls_succeed() {
     let address = backend(|_| Box::pin(async { Response::new(full("ok")) })).await;
     let pair = Pair::start("feeds", ROW, address).await;
     let mut request = to_service("feeds", "GET", full(""));
     let large = "a".repeat(64 * 1024).parse().unwrap();
     request.headers_mut().insert("x-large", large);
     let mut sender = connect(pair.callers()).await;
-    // The node may close before all of the head has been written.
+    // The node may close the connection before the whole head has been written.
     if let Ok(response) = sender.send_request(request).await {
         let answer = read(response).await;
         assert_eq!(answer.status, StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
--- a/crates/daemon/tests/planned_stop.rs
+++ b/crates/daemon/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop takes no new work and cuts nothing in progress.
+//! Tests that a planned stop refuses new calls and finishes those in progress.
 
 mod support;
 
@@ -12,7 +12,7 @@
 
 const ROW: &str = "100,10,10,10,normal,no,60000";
 
-/// A body whose bytes are sent by the test.
+/// A body that streams the bytes which the test sends to a channel.
 fn fed_body(bytes: flume::Receiver<Bytes>) -> AnyBody {
     let frames = bytes.into_stream();
     let frames = frames.map(|bytes| Ok::<_, BodyError>(Frame::data(bytes)));
@@ -24,7 +24,8 @@
     frame.into_data().unwrap()
 }
 
-/// A pair with one streamed answer in progress, and what feeds and reads it.
+/// A pair of nodes with one streamed answer in progress, the sender of its bytes, and
+/// the body that the caller reads.
 async fn streaming_pair() -> (Pair, flume::Sender<Bytes>, Incoming) {
     let (feed, fed) = flume::unbounded();
     let address = backend(move |_: Request<Incoming>| {
@@ -59,8 +60,8 @@
     assert!(!stopping.is_finished());
     feed.send(Bytes::from_static(b"last")).unwrap();
     drop(feed);
-    // The back end's handler holds a receiver, so the end is told by dropping all
-    // senders; every byte sent before still arrives.
+    // The back end's handler holds a receiver, so dropping all senders ends the body;
+    // all bytes sent before still arrive.
     assert_eq!(next_bytes(&mut body).await, "last");
     assert!(body.frame().await.is_none());
     assert!(stopping.await.unwrap(), "something was cut");
--- a/crates/daemon/tests/process.rs
+++ b/crates/daemon/tests/process.rs
@@ -1,9 +1,9 @@
-//! The program itself: what it prints, and how it ends on SIGTERM.
+//! Tests of the program `lifthollowd`: its output, and its end on SIGTERM.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, Stdio};
 
-/// Ends the process if a test fails before it has ended.
+/// A running node, killed if a test fails before the node has ended.
 struct Running(Child);
 
 impl Drop for Running {
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn terminated_node_logs_its_addresses_first_and_its_stop_last() {
+fn node_logs_its_addresses_first_and_its_stop_on_sigterm_last() {
     let any = "127.0.0.1:0";
     let child = Command::new(env!("CARGO_BIN_EXE_lifthollowd"))
         .args(["--node", any, "--callers", any, "--operators", any])
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn settings_with_faults_end_the_process_with_every_fault() {
+fn faults_of_settings_are_all_printed_and_end_the_process() {
     let output = Command::new(env!("CARGO_BIN_EXE_lifthollowd"))
         .args(["--side", "left", "--zone", "many"])
         .output()
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings from file and flags, and their check.
+//! Tests of settings from file and flags, and of their checks.
 
 use std::time::Duration;
 
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn every_fault_of_syntax_is_reported() {
+fn every_syntax_fault_of_the_file_is_reported() {
     let file = "node = 10.0.1.5:7000\nside = \"old\"\nzone 3\n";
     let text = faults(Some(file), &[]);
     assert!(text.contains("n.toml:1:"), "{text}");
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn addresses_that_cannot_work_are_refused() {
+fn unusable_addresses_are_refused() {
     let cases: [(&[&str], &str); 7] = [
         (&["--node", "0.0.0.0:7000"], "--node: `node`"),
         (&["--node", "[::1]:7000"], "--node: `node`"),
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_missing_file_is_a_finding() {
+fn missing_settings_file_is_reported_as_a_finding() {
     let found = settings::load(&flags(&["--settings", "/nonexistent/n.toml"])).unwrap_err();
     assert!(
         found
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn the_page_of_settings_has_a_valid_example_and_every_key() {
+fn settings_page_has_a_valid_example_and_every_key() {
     const PAGE: &str = include_str!("../../../docs/operators/settings.md");
     let (_, rest) = PAGE.split_once("```toml").unwrap();
     let (example, _) = rest.split_once("```").unwrap();
--- a/crates/daemon/tests/streaming.rs
+++ b/crates/daemon/tests/streaming.rs
@@ -1,4 +1,4 @@
-//! Large bodies pass through two nodes in bounded memory.
+//! Tests that nodes stream large bodies in bounded memory.
 
 mod support;
 
@@ -20,7 +20,7 @@
     StreamBody::new(futures_util::stream::iter(frames)).boxed_unsync()
 }
 
-async fn count<B>(mut body: B) -> usize
+async fn count_body_bytes<B>(mut body: B) -> usize
 where
     B: hyper::body::Body<Data = Bytes> + Unpin,
     B::Error: std::fmt::Debug,
@@ -33,12 +33,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn hundred_megabytes_up_and_down_are_never_held_whole() {
+async fn bodies_of_hundred_megabytes_are_streamed_within_the_window() {
     let (received, totals) = flume::unbounded();
     let address = backend(move |request| {
         let received = received.clone();
         Box::pin(async move {
-            received.send(count(request.into_body()).await).unwrap();
+            received
+                .send(count_body_bytes(request.into_body()).await)
+                .unwrap();
             Response::new(large_body())
         })
     })
@@ -48,7 +50,7 @@
     let request = to_service("audio", "POST", large_body());
     let response = sender.send_request(request).await.unwrap();
     assert_eq!(totals.recv_async().await.unwrap(), CHUNKS * CHUNK.len());
-    let downloaded = count(response.into_body()).await;
+    let downloaded = count_body_bytes(response.into_body()).await;
     assert_eq!(downloaded, CHUNKS * CHUNK.len());
     assert!(pair.entry.buffered().peak() <= STREAM_WINDOW_BYTES);
     assert!(pair.server.buffered().peak() <= STREAM_WINDOW_BYTES);
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -1,6 +1,10 @@
-//! A small platform, back ends and callers around real nodes in one process.
+//! Test support: a simulated platform, back ends and callers for real nodes, all in
+//! one process.
 
-#![allow(dead_code, reason = "each test program uses a part of it")]
+#![allow(
+    dead_code,
+    reason = "each test program uses only a part of this module"
+)]
 
 use std::convert::Infallible;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -31,14 +35,14 @@
 const MACHINES_HEADER: &str = "address,service,side,zone,state";
 const POLL: Duration = Duration::from_millis(5);
 
-/// Waits until `condition` holds; the test runner's limit is the only time limit.
+/// Polls until `condition` holds. The only timeout is that of the test runner.
 pub async fn eventually(condition: impl AsyncFn() -> bool) {
     while !condition().await {
         tokio::time::sleep(POLL).await;
     }
 }
 
-/// The platform's service, with what it answers.
+/// A simulated platform's service, with the table and the machines it answers.
 #[derive(Clone)]
 pub struct Platform {
     pub address: SocketAddr,
@@ -76,7 +80,7 @@
     }
 }
 
-/// A table of one service, the same on both sides.
+/// The text of a table of one service, with the same row for both sides.
 pub fn table(number: u64, row: &str) -> String {
     let service = row.split(',').next().unwrap();
     let rest = &row[service.len()..];
@@ -149,7 +153,7 @@
     }
 }
 
-/// Starts a node; it runs on threads of its own.
+/// Starts a node, which runs on its own threads and logs nothing.
 pub fn start(settings: Settings) -> Daemon {
     start_logging(settings, Logger::root(Discard, o!()))
 }
@@ -162,8 +166,8 @@
     tokio::task::spawn_blocking(|| daemon.stop()).await.unwrap()
 }
 
-/// A node for callers and a node beside a back end of `service`, which know of
-/// each other.
+/// An entry node, which callers use, and a server node with the local back end of
+/// one service. Both know each other.
 pub struct Pair {
     pub platform: Platform,
     pub entry: Daemon,
@@ -185,7 +189,7 @@
         pair
     }
 
-    /// Waits until both nodes have the table and know the server.
+    /// Waits until both nodes have the table with this number and know a server.
     pub async fn wait_for_table(&self, number: u64) {
         for daemon in [&self.entry, &self.server] {
             eventually(async || {
@@ -217,7 +221,7 @@
     serde_json::from_str(&answer.text).unwrap()
 }
 
-/// What a command of the client prints about a node.
+/// Runs a command of `lifthollowctl` on a node and returns its output.
 pub async fn ctl(command: &str, daemon: &Daemon, options: &[&str]) -> String {
     let address = daemon.addresses().operators.to_string();
     let words: Vec<&str> = [&[command, &address], options].concat();
@@ -232,7 +236,7 @@
     request.body(full("")).unwrap()
 }
 
-/// A request for `service` through a node's caller port.
+/// A request for `service`, to be sent to a node's port for callers.
 pub fn to_service(service: &str, method: &str, body: AnyBody) -> Request<AnyBody> {
     Request::builder()
         .method(method)
@@ -261,7 +265,7 @@
     pub text: String,
 }
 
-/// One call on a connection of its own, with the whole answer.
+/// Makes one call on a new connection and reads the whole answer.
 pub async fn call(address: SocketAddr, request: Request<AnyBody>) -> Answer {
     let mut sender = connect(address).await;
     let response = sender.send_request(request).await.unwrap();
--- a/crates/daemon/tests/table_refusal.rs
+++ b/crates/daemon/tests/table_refusal.rs
@@ -1,4 +1,4 @@
-//! A bad table is refused whole and the one in force stays.
+//! Tests that a table with faults is refused as a whole and the one in force stays.
 
 mod support;
 
@@ -13,7 +13,7 @@
 
 const ROW: &str = "feeds,100,10,10,10,normal,yes,2000";
 
-/// Keeps the messages of all records.
+/// A log drain that keeps the messages of all records.
 #[derive(Clone, Default)]
 struct Messages(Arc<Mutex<Vec<String>>>);
 
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_table_is_refused_with_all_findings_and_the_old_one_stays() {
+async fn table_with_faults_is_refused_with_all_findings_and_the_old_one_stays() {
     let address = backend(|_| Box::pin(async { Response::new(full("ok")) })).await;
     let platform = Platform::start(table(1, ROW)).await;
     let messages = Messages::default();
@@ -52,7 +52,7 @@
     let bad = table(2, "feeds,many,10,10,10,royal,yes,2000");
     *platform.table.lock().unwrap() = bad;
     eventually(async || messages.count("table_refused") > 0).await;
-    // Two cells are wrong on each of the two rows.
+    // Each of the two rows has two cells with a fault.
     assert_eq!(messages.count("table_finding"), 4);
     assert_eq!(status(&daemon).await["table_number"], 1);
     let callers = daemon.addresses().callers;
--- a/crates/daemon/tests/table_transfer.rs
+++ b/crates/daemon/tests/table_transfer.rs
@@ -1,4 +1,4 @@
-//! A table whose transfer was cut short is not taken.
+//! Tests that a table whose transfer ended early is refused.
 
 mod support;
 
@@ -8,10 +8,10 @@
 
 use support::{LOOPBACK, Platform, operators, settings, start, stop, table};
 
-/// A platform that closes each connection after the first `sent` bytes of an
-/// answer whose head announces all of them. Returns its address, and a channel
-/// that tells of each answer.
-fn cut_short(text: String, sent: usize) -> (SocketAddr, mpsc::Receiver<()>) {
+/// Starts a platform's service that closes each connection after the first `sent`
+/// bytes of an answer whose head announces all bytes of `text`. Returns its address,
+/// and a channel that receives a message for each answer.
+fn start_truncating_platform(text: String, sent: usize) -> (SocketAddr, mpsc::Receiver<()>) {
     let listener = TcpListener::bind(LOOPBACK).unwrap();
     let address = listener.local_addr().unwrap();
     let (answered, answers) = mpsc::channel();
@@ -33,15 +33,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_table_cut_at_the_end_of_a_row_is_refused() {
+async fn table_truncated_at_the_end_of_a_row_is_refused() {
     let text = table(7, "feeds,100,10,10,10,normal,yes,2000");
     let last_row = text.trim_end().rfind('\n').unwrap();
-    let (address, answers) = cut_short(text, last_row + 1);
+    let (address, answers) = start_truncating_platform(text, last_row + 1);
     let platform = Platform::start(String::new()).await;
     let mut settings = settings(&platform, &[]);
     settings.platform_table = Some(address);
     let daemon = start(settings);
-    // The second answer is asked for only after the first was looked at.
+    // The node asks for the table again only after it has checked the first answer.
     let seen = tokio::task::spawn_blocking(move || answers.recv().and_then(|()| answers.recv()));
     seen.await.unwrap().unwrap();
     let status = operators(&daemon, "/status").await;
