--- a/crates/ctl/src/arguments.rs
+++ b/crates/ctl/src/arguments.rs
@@ -2,51 +2,51 @@
 
 use argh::FromArgs;
 
-/// Operators' client of lifthollow: checks, compares and edits tables, and asks
-/// running nodes what they see.
+/// Operators' client of lifthollow: checks, compares and edits tables, and queries
+/// the state of running nodes.
 ///
-/// Tables are files of yours; publishing a new version is the platform's job.
+/// Tables are local files; the platform publishes new versions.
 #[derive(FromArgs, Debug)]
 #[argh(
-    example = "Move a tenth of the feeds from the old halls to the new ones:\n  \
+    example = "Move a tenth of the feeds from the old data centre to the new one:\n  \
                {command_name} table set table.csv feeds@old weight 90 feeds@new weight 10",
     error_code(0, "done; for `table diff`, the rows are the same"),
     error_code(1, "`table diff` found differences"),
     error_code(2, "the arguments or a table have faults; nothing was changed"),
-    error_code(3, "a node could not be reached, or refused what was asked"),
+    error_code(3, "a node could not be reached, or refused the request"),
     error_code(4, "a file could not be read or written")
 )]
 pub struct Arguments {
-    /// what to do
+    /// the command to run
     #[argh(subcommand)]
     pub command: Command,
 }
 
-/// What to do.
+/// The command to run.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum Command {
-    /// Work on table files.
+    /// Check, compare and edit table files.
     Table(TableCommand),
-    /// A node in short.
+    /// Show a summary of a node's state.
     Status(StatusCommand),
-    /// Why calls were refused.
+    /// Show why a node refused calls.
     Explain(ExplainCommand),
-    /// The nodes that a node knows.
+    /// List the nodes that a node knows.
     Members(MembersCommand),
-    /// Who is leaving.
+    /// Show whether a node is leaving, and which servers it knows to be.
     Leaving(LeavingCommand),
-    /// What a node knows of an idempotency key.
+    /// Show a node's record of an idempotency key.
     Claim(ClaimCommand),
-    /// A node's state to a file.
+    /// Write a node's state to a file.
     Snapshot(SnapshotCommand),
-    /// Why requests were not served, by nodes' logs.
+    /// Count why requests were not served, from nodes' logs.
     Causes(CausesCommand),
 }
 
 /// Count, over the logs of any number of nodes, why requests were not served: for
-/// each service, what callers were told and the cause, the most frequent first,
-/// with the seconds in which it came.
+/// each service, the outcome given to callers and the cause, the most frequent first,
+/// with the first, the last and the busiest second.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
@@ -54,18 +54,18 @@
     example = "All nodes of a site:\n  {command_name} logs/*"
 )]
 pub struct CausesCommand {
-    /// logs, JSON lines; `-` is standard input
+    /// log files, JSON lines; `-` is standard input
     #[argh(positional)]
     pub files: Vec<String>,
-    /// only the request whose identity begins so, with its nested calls
+    /// only the request whose request ID begins with this text, with its nested calls
     #[argh(option)]
     pub request: Option<String>,
 }
 
-/// Show a node in short: its table, its load, what is in progress.
+/// Show a summary of a node: its table, its load, and its calls in progress.
 ///
-/// With --all, also the table in force on every node it knows, as of when that
-/// node was last heard, those that are behind first.
+/// With --all, also the table in force on every node it knows, as of the last message
+/// from that node; nodes with an older table come first.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "status")]
 pub struct StatusCommand {
@@ -77,10 +77,10 @@
     pub all: bool,
 }
 
-/// Show why a node refused calls lately: how often for each reason, what the
+/// Show why a node refused calls recently: how often for each reason, what the
 /// reason means and where to look, and the newest refusals with the state that
-/// led to them. Each node records what it refused itself: ask the entry node and
-/// the node beside the back end.
+/// led to them. Each node records only its own refusals: query both the entry node
+/// and the node of the back end.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "explain")]
 pub struct ExplainCommand {
@@ -105,8 +105,8 @@
     pub address: String,
 }
 
-/// Show whether a node is leaving and what it still carries, and which servers
-/// it knows to be leaving.
+/// Show whether a node is leaving and its calls and attempts still in progress, and
+/// which servers it knows to be leaving.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "leaving")]
 pub struct LeavingCommand {
@@ -115,8 +115,8 @@
     pub address: String,
 }
 
-/// Show what a node knows of an idempotency key: which nodes are its replicas, and
-/// if this one is, who claimed the key and how the run ended.
+/// Show a node's record of an idempotency key: which nodes are its replicas, and if
+/// this node is one, which node claimed the key and how the run ended.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "claim")]
 pub struct ClaimCommand {
@@ -126,7 +126,7 @@
     /// the service that was called
     #[argh(positional)]
     pub service: String,
-    /// the key as the caller wrote it in `idempotency-key`
+    /// the key as the caller sent it in the header `idempotency-key`
     #[argh(positional)]
     pub key: String,
 }
@@ -138,7 +138,7 @@
     /// the node's operators' address, IP:PORT
     #[argh(positional)]
     pub address: String,
-    /// the file; it must not exist yet
+    /// the file to write; it must not exist yet
     #[argh(option, arg_name = "file")]
     pub out: String,
 }
@@ -147,20 +147,20 @@
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "table")]
 pub struct TableCommand {
-    /// what to do with the table
+    /// the command on table files
     #[argh(subcommand)]
     pub action: TableAction,
 }
 
-/// What to do with a table.
+/// A command on table files.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum TableAction {
-    /// Check a file.
+    /// Check a table file.
     Check(TableCheck),
-    /// Compare two files.
+    /// Compare two table files.
     Diff(TableDiff),
-    /// Change one cell.
+    /// Change cells of a table file.
     Set(TableSet),
 }
 
@@ -191,7 +191,7 @@
 ///
 /// The file is checked in full before and after the change and is replaced in one
 /// step, so that a reader sees the whole old version or the whole new one. Other
-/// rows stay as they are. Two edits of one file at the same time follow each other.
+/// rows stay as they are. Concurrent edits of one file run one after the other.
 #[derive(FromArgs, Debug)]
 #[argh(
     subcommand,
--- a/crates/ctl/src/columns.rs
+++ b/crates/ctl/src/columns.rs
@@ -1,4 +1,4 @@
-//! Text in aligned columns.
+//! Formats text in aligned columns.
 
 const GAP: &str = "  ";
 
@@ -9,7 +9,7 @@
 }
 
 impl Columns {
-    /// Columns with these headings.
+    /// Creates columns with these headings and no rows.
     pub fn new(headings: &[&str]) -> Self {
         let headings = headings.iter().map(|text| text.to_uppercase()).collect();
         Columns {
@@ -22,7 +22,7 @@
         self.rows.push(cells);
     }
 
-    /// The text, one line for each row, without the last line end.
+    /// Formats the columns, one line for each row, without a final line break.
     pub fn render(&self) -> String {
         let widths = self.widths();
         let lines: Vec<String> = self.rows.iter().map(|row| line(row, &widths)).collect();
--- a/crates/ctl/src/duration.rs
+++ b/crates/ctl/src/duration.rs
@@ -1,6 +1,6 @@
-//! Times as operators read them.
+//! Formats durations for operators.
 
-/// A time of the two largest units that it has.
+/// Formats a duration of `seconds` in its two largest units of d, h, min and s.
 pub(crate) fn duration(seconds: f64) -> String {
     const MINUTE: u64 = 60;
     const HOUR: u64 = 60 * MINUTE;
--- a/crates/ctl/src/file.rs
+++ b/crates/ctl/src/file.rs
@@ -1,4 +1,4 @@
-//! Reading and making files, and replacing one in a single step.
+//! Reading and creating files, and replacing a file atomically.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -8,7 +8,7 @@
 use anyhow::Context;
 use lifthollow_state::table::MAX_FILE_BYTES;
 
-/// Reads a file, up to one byte more than a table may have.
+/// Reads a file, up to one byte more than [`MAX_FILE_BYTES`], the limit of a table.
 pub(crate) fn read(path: &str) -> anyhow::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     File::open(path)
@@ -17,41 +17,42 @@
     Ok(bytes)
 }
 
-/// Makes a file that does not exist yet.
+/// Creates a file, which must not exist yet.
 pub(crate) fn create(path: &str, bytes: &[u8]) -> anyhow::Result<()> {
     File::create_new(path)
         .and_then(|mut file| file.write_all(bytes))
-        .with_context(|| format!("{path}: can't be made"))
+        .with_context(|| format!("{path}: can't be created"))
 }
 
-/// The right to replace a file, held against other runs of this program.
+/// An exclusive lock to replace a file, respected by other runs of this program.
 pub(crate) struct Lock {
     path: PathBuf,
     file: File,
 }
 
 impl Lock {
-    /// Waits for other runs that edit the file. Links are followed, so that
-    /// the file itself is replaced and not a link to it.
+    /// Locks the file, after waiting for other runs that edit it. Symbolic links are
+    /// followed, so that the file itself is replaced and not a link to it.
     pub(crate) fn acquire(path: &str) -> anyhow::Result<Self> {
         lock_current(Path::new(path)).with_context(|| format!("{path}: can't be opened"))
     }
 
-    /// Puts a file with the new content in the place of the locked one.
+    /// Atomically replaces the locked file by one with the new content.
     pub(crate) fn replace(self, bytes: &[u8]) -> anyhow::Result<()> {
-        let next = self.path_of_next();
-        let result = write_next(&next, bytes, &self.file)
+        let next = self.temporary_path();
+        let result = write_temporary(&next, bytes, &self.file)
             .and_then(|()| fs::rename(&next, &self.path))
             .and_then(|()| sync_directory(&self.path));
         if result.is_err() {
-            // The rename may not have come; what is left of the attempt goes.
+            // If the rename was not reached, the temporary file is still there.
             let _ = fs::remove_file(&next);
         }
         result.with_context(|| format!("{}: can't be replaced", self.path.display()))
     }
 
-    /// A name in the same directory that no other process uses.
-    fn path_of_next(&self) -> PathBuf {
+    /// Path of the temporary file: a name in the same directory that no other process
+    /// uses.
+    fn temporary_path(&self) -> PathBuf {
         let mut name = std::ffi::OsString::from(".");
         name.push(self.path.file_name().unwrap_or_default());
         name.push(format!(".next-{}", std::process::id()));
@@ -59,8 +60,9 @@
     }
 }
 
-/// Locks the file that the path names at the time the lock is held: another
-/// run may have replaced the file while this one waited.
+/// Locks the file at `path`. Another run may replace the file while this one waits
+/// for the lock, so the lock is taken again until it is held on the file that the path
+/// then names.
 fn lock_current(path: &Path) -> io::Result<Lock> {
     loop {
         let path = fs::canonicalize(path)?;
@@ -76,10 +78,11 @@
     (left.dev(), left.ino()) == (right.dev(), right.ino())
 }
 
-/// Writes the new content beside the present file, with the same permissions.
-fn write_next(next: &Path, bytes: &[u8], present: &File) -> io::Result<()> {
+/// Writes the new content to a temporary file with the permissions of the current
+/// one.
+fn write_temporary(next: &Path, bytes: &[u8], current: &File) -> io::Result<()> {
     let mut file = OpenOptions::new().write(true).create_new(true).open(next)?;
-    file.set_permissions(present.metadata()?.permissions())?;
+    file.set_permissions(current.metadata()?.permissions())?;
     file.write_all(bytes)?;
     file.sync_all()
 }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,5 +1,5 @@
 //! `lifthollowctl`, the operators' client: checks, compares and edits tables,
-//! and asks running nodes what they see.
+//! and queries the state of running nodes.
 
 pub mod arguments;
 mod columns;
@@ -17,8 +17,8 @@
 use crate::arguments::{Arguments, Command};
 use crate::outcome::{Outcome, Report};
 
-/// Runs the program with the words of its command line, the first of which is
-/// the program's own name.
+/// Runs the program with its command line, whose first element is the program's
+/// name.
 pub fn main_with(words: &[String]) -> Outcome {
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     let arguments = match Arguments::from_args(&["lifthollowctl"], words.get(1..).unwrap_or(&[])) {
@@ -48,7 +48,7 @@
     }
 }
 
-/// Shows the help that was asked for, or what is wrong with the arguments.
+/// Prints the requested help, or the faults of the arguments.
 fn show_early_exit(exit: &argh::EarlyExit) -> Outcome {
     match exit.status {
         Ok(()) => show(&Report::done(exit.output.trim_end().to_owned())),
@@ -59,7 +59,7 @@
     }
 }
 
-/// Prints a report. A reader that stops reading early is no failure.
+/// Prints a report. A closed pipe is not a failure: the reader may stop early.
 fn show(report: &Report) -> Outcome {
     match writeln!(io::stdout().lock(), "{}", report.text) {
         Err(error) if error.kind() != io::ErrorKind::BrokenPipe => {
--- a/crates/ctl/src/logs/causes.rs
+++ b/crates/ctl/src/logs/causes.rs
@@ -1,14 +1,14 @@
-//! Why requests were not served, counted over the logs of many nodes.
+//! Counts the causes of requests that were not served, over the logs of many nodes.
 
 use std::collections::BTreeMap;
 
 use super::line::LogLine;
 use crate::columns::Columns;
 
-/// Characters of a time that name its second: `2026-12-02T14:05:46`.
+/// Length of the part of a time down to its second: `2026-12-02T14:05:46`.
 const SECOND_LENGTH: usize = 19;
 
-/// What lines are counted together.
+/// The fields in which log lines must agree to be counted together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Cause {
     kind: &'static str,
@@ -17,7 +17,7 @@
     why: String,
 }
 
-/// How often a cause came, and when.
+/// How often a cause occurred, in total and by second.
 #[derive(Clone, Debug, Default)]
 struct Occurrences {
     count: u64,
@@ -57,7 +57,7 @@
 }
 
 impl Causes {
-    /// Takes in a line.
+    /// Counts a log line.
     pub fn add(&mut self, line: LogLine) {
         match line {
             LogLine::NotServed(line) => {
@@ -92,7 +92,8 @@
         self.found.entry(cause).or_default().add(time);
     }
 
-    /// A table, the most frequent cause first, and how many lines are missing.
+    /// Formats the causes as a table, the most frequent first, with the number of lines
+    /// that the nodes left out.
     pub fn render(&self) -> String {
         let headings = [
             "count",
--- a/crates/ctl/src/logs/line.rs
+++ b/crates/ctl/src/logs/line.rs
@@ -1,55 +1,55 @@
-//! The lines of a node's log that tell of requests which were not served.
+//! The lines of a node's log about requests that were not served.
 
 use serde::Deserialize;
 
-/// A line that says something of a request, or of lines that were not written.
+/// A log line about a request or an attempt, or about lines that were left out.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(tag = "msg")]
 pub enum LogLine {
-    /// The final answer of the caller's node.
+    /// A request was not served; logged by the caller's node with its final answer.
     #[serde(rename = "request not served")]
     NotServed(NotServed),
-    /// One attempt that a server did not answer, as the caller's node saw it.
+    /// A server did not answer an attempt; logged by the caller's node.
     #[serde(rename = "attempt not answered")]
     NotAnswered(NotAnswered),
-    /// Lines about requests that were left out to bound the volume.
+    /// Lines about requests were left out to limit the volume of the log.
     #[serde(rename = "log lines left out")]
     LeftOut {
-        /// How many.
+        /// Number of lines that were left out.
         count: u64,
     },
 }
 
-/// A request that got a final answer of its caller's node.
+/// A request that was not served, with the final answer of the caller's node.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 pub struct NotServed {
-    /// When, as RFC 3339 text.
+    /// Time of the log line, as RFC 3339 text.
     pub ts: String,
-    /// The service that it was for.
+    /// The service that was called.
     pub service: String,
-    /// Whether a server made it for a request of its own.
+    /// Whether the request is a nested call, made by a server for a request that it runs.
     pub nested: bool,
-    /// What its caller was told.
+    /// The outcome that the caller was given.
     pub outcome: String,
-    /// The cause.
+    /// Why it was not served or answered.
     pub why: String,
 }
 
-/// An attempt without an answer.
+/// An attempt that a server did not answer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 pub struct NotAnswered {
-    /// When, as RFC 3339 text.
+    /// Time of the log line, as RFC 3339 text.
     pub ts: String,
-    /// The service that it was for.
+    /// The service that was called.
     pub service: String,
-    /// Whether it has run, as far as is known.
+    /// Whether the attempt has run, as far as is known.
     pub outcome: String,
-    /// The cause.
+    /// Why it was not served or answered.
     pub why: String,
 }
 
-/// Reads a line. Something may stand before its opening brace, such as the name of
-/// the node; lines that tell nothing of requests are left out.
+/// Parses a log line. Text before its opening brace, such as the name of the node, is
+/// ignored. `None` if the line is not about requests that were not served.
 pub fn parse(line: &str) -> Option<LogLine> {
     let begin = line.find('{')?;
     serde_json::from_str(&line[begin..]).ok()
--- a/crates/ctl/src/logs/mod.rs
+++ b/crates/ctl/src/logs/mod.rs
@@ -1,4 +1,4 @@
-//! What nodes' logs tell.
+//! The command that evaluates nodes' logs.
 
 mod causes;
 mod line;
@@ -15,7 +15,7 @@
 /// The name of a file that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// Counts why requests were not served.
+/// `causes`: counts why requests were not served.
 pub fn causes(command: &CausesCommand) -> Result<Report> {
     let mut causes = Causes::default();
     for name in &command.files {
--- a/crates/ctl/src/node/claim.rs
+++ b/crates/ctl/src/node/claim.rs
@@ -1,10 +1,10 @@
-//! What a node knows of an idempotency key, as text.
+//! Formats a node's record of an idempotency key.
 
 use lifthollow_protocol::operators::{ClaimRecord, ClaimStatus};
 
 use crate::duration::duration;
 
-/// The key's record at the node, and its replicas.
+/// Formats the record of a key on a node, and the key's replicas.
 pub(super) fn show(claim: &ClaimStatus) -> String {
     let mut lines = vec![match &claim.record {
         Some(record) => known(claim, record),
@@ -17,7 +17,7 @@
     ));
     if !claim.previous_replicas.is_empty() {
         let previous = claim.previous_replicas.join(" ");
-        lines.push(format!("replicas by the roster before: {previous}"));
+        lines.push(format!("replicas by the previous roster: {previous}"));
     }
     lines.join("\n")
 }
@@ -31,7 +31,7 @@
     } = record;
     format!(
         "{service} {key}: {}\nclaimed by {holder} (incarnation {holder_incarnation}), \
-         forgotten in {}",
+         expires in {}",
         state(record),
         duration(record.expires_in_seconds)
     )
@@ -40,12 +40,12 @@
 fn state(record: &ClaimRecord) -> String {
     let meaning = match record.state.as_str() {
         "claimed" => "its holder may be running the call",
-        "recovered" => "learned from another replica; nobody is granted the key",
-        "released" => "its holder gave it back without a run",
+        "recovered" => "learned from another replica; the key is granted to no caller",
+        "released" => "its holder released it without a run",
         "completed" => "the call ran and its answer is on record",
-        "answer_too_large" => "the call ran; its answer was too large to be kept",
+        "answer_too_large" => "the call ran; its answer was too large to be recorded",
         "answer_lost" => "the call may have run; its answer was lost",
-        _ => "this program doesn't know the state",
+        _ => "a state unknown to this program",
     };
     match record.status {
         Some(status) => format!("{}, status {status} ({meaning})", record.state),
--- a/crates/ctl/src/node/client.rs
+++ b/crates/ctl/src/node/client.rs
@@ -1,4 +1,4 @@
-//! Questions to one node's operators' port.
+//! HTTP client for a node's operators' port.
 
 use std::io::{self, Read};
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use attohttpc::header::{CONTENT_LENGTH, HeaderMap};
 use serde::de::DeserializeOwned;
 
-/// Longest time of one question, from connecting to the last byte.
+/// Timeout of one request, from connecting to the last byte of the answer.
 const TIMEOUT: Duration = Duration::from_secs(5);
 /// Largest answer that is read, bytes.
 const MAX_ANSWER_BYTES: u64 = 64 * 1024 * 1024;
@@ -16,58 +16,58 @@
 /// Why a node gave no usable answer.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// No answer came.
+    /// The node gave no answer.
     #[error("{address}: no answer: {cause}; is this the node's operators' address?")]
     Unreachable {
-        /// The address asked.
+        /// Address of the node that was queried.
         address: SocketAddr,
-        /// What the HTTP client says.
+        /// Error of the HTTP client.
         cause: attohttpc::Error,
     },
     /// The answer could not be read to its end.
-    #[error("{address}: the answer broke off: {cause}")]
+    #[error("{address}: the answer ended early: {cause}")]
     Broken {
-        /// The address asked.
+        /// Address of the node that was queried.
         address: SocketAddr,
-        /// What went wrong.
+        /// Error of reading the answer.
         cause: io::Error,
     },
     /// The answer is shorter than announced.
-    #[error("{address}: the answer broke off after {received} of {announced} bytes")]
+    #[error("{address}: the answer ended early after {received} of {announced} bytes")]
     Shortened {
-        /// The address asked.
+        /// Address of the node that was queried.
         address: SocketAddr,
-        /// Bytes that came.
+        /// Number of bytes received.
         received: u64,
-        /// Bytes that the answer's head promised.
+        /// Number of bytes that the header `content-length` announced.
         announced: u64,
     },
     /// The node answered with an error.
     #[error("{address}: {path} was answered with status {status}")]
     Refused {
-        /// The address asked.
+        /// Address of the node that was queried.
         address: SocketAddr,
-        /// The path asked for.
+        /// The requested path.
         path: String,
-        /// The HTTP status.
+        /// HTTP status of the answer.
         status: u16,
     },
-    /// The answer is too large.
+    /// The answer is larger than [`MAX_ANSWER_BYTES`].
     #[error("{address}: {path} was answered with more than {MAX_ANSWER_BYTES} bytes")]
     TooLarge {
-        /// The address asked.
+        /// Address of the node that was queried.
         address: SocketAddr,
-        /// The path asked for.
+        /// The requested path.
         path: String,
     },
-    /// The answer is not what this program knows.
-    #[error("{address}: {path} was answered with something else than expected: {cause}")]
+    /// The answer is not JSON of the expected form.
+    #[error("{address}: {path} was answered with an unexpected body: {cause}")]
     NotUnderstood {
-        /// The address asked.
+        /// Address of the node that was queried.
         address: SocketAddr,
-        /// The path asked for.
+        /// The requested path.
         path: String,
-        /// Where the answer differs.
+        /// Error of parsing the answer.
         cause: serde_json::Error,
     },
 }
@@ -79,12 +79,12 @@
 }
 
 impl NodeClient {
-    /// A client of the node whose operators' port is `address`.
+    /// Creates a client of the node whose operators' port is `address`.
     pub fn new(address: SocketAddr) -> Self {
         NodeClient { address }
     }
 
-    /// Asks for `path` and reads the answer as JSON.
+    /// Requests `path` and parses the answer as JSON.
     pub fn get<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Asks for `path` and returns the answer as it came.
+    /// Requests `path` and returns the body of the answer unchanged.
     pub fn get_bytes(&self, path: &str, parameters: &[(&str, &str)]) -> Result<Vec<u8>, NodeError> {
         let unreachable = |cause| NodeError::Unreachable {
             address: self.address,
@@ -125,8 +125,9 @@
         Ok(bytes)
     }
 
-    /// The HTTP client takes a connection's end for the body's end, also when
-    /// the head announced more.
+    /// Checks that the body has the length that its head announced. The HTTP client
+    /// takes the end of the connection for the end of the body, even if bytes are
+    /// missing.
     fn check_length(&self, headers: &HeaderMap, bytes: &[u8]) -> Result<(), NodeError> {
         let received = bytes.len() as u64;
         let announced = headers
--- a/crates/ctl/src/node/member.rs
+++ b/crates/ctl/src/node/member.rs
@@ -1,10 +1,10 @@
-//! What is known of one member, in words.
+//! Formats the fields of one member.
 
 use lifthollow_protocol::operators::KnownMember;
 
 use crate::duration::duration;
 
-/// The table in force there when it was last heard.
+/// The table in force on the member at its last message.
 pub(super) fn table(known: &KnownMember) -> String {
     match (known.heard_seconds_ago, known.table_number) {
         (None, _) => "not known".to_owned(),
@@ -13,7 +13,7 @@
     }
 }
 
-/// When it was last heard.
+/// The time since the last message from the member.
 pub(super) fn heard(known: &KnownMember) -> String {
     match known.heard_seconds_ago {
         None => "never".to_owned(),
@@ -21,7 +21,7 @@
     }
 }
 
-/// What decisions make of it.
+/// The state in which decisions treat the member.
 pub(super) fn state(known: &KnownMember) -> String {
     match &known.use_as {
         Some(state) => state.clone(),
@@ -30,7 +30,7 @@
     }
 }
 
-/// Why it is in that state.
+/// The reason why the member is in its state.
 pub(super) fn why(known: &KnownMember) -> String {
     let since = known.not_alive_seconds.map_or(String::new(), |seconds| {
         format!(" for {}", duration(seconds))
--- a/crates/ctl/src/node/show.rs
+++ b/crates/ctl/src/node/show.rs
@@ -1,4 +1,4 @@
-//! Nodes' answers as text for operators.
+//! Formats nodes' answers for operators.
 
 use std::collections::BTreeMap;
 
@@ -13,10 +13,10 @@
 use crate::columns::Columns;
 use crate::duration::duration;
 
-/// Refusals that are listed one by one.
+/// Maximum number of refusals that are listed one by one.
 const MAX_REFUSALS_LISTED: usize = 20;
 
-/// A node in short.
+/// Formats a summary of a node's state.
 pub(super) fn status(status: &NodeStatus) -> String {
     let mut lines = vec![
         format!(
@@ -69,7 +69,7 @@
     columns.render()
 }
 
-/// The table in force on all nodes that a node knows, those behind first.
+/// Formats the table in force on all nodes that a node knows, the oldest tables first.
 pub(super) fn versions(status: &NodeStatus, members: &Members) -> String {
     let mut members: Vec<&KnownMember> = members.members.iter().collect();
     members.sort_by_key(|known| (known.table_number, &known.table_digest));
@@ -96,7 +96,7 @@
     )
 }
 
-/// All nodes that a node knows.
+/// Formats the list of all nodes that a node knows.
 pub(super) fn members(members: &Members) -> String {
     list(members.members.iter())
 }
@@ -116,7 +116,8 @@
     columns.render()
 }
 
-/// Whether a node is leaving, and what it still carries.
+/// Formats whether a node is leaving with its calls and attempts in progress, and
+/// which nodes it knows to be leaving.
 pub(super) fn leaving(node: &LeavingStatus, members: &Members) -> String {
     let mut text = match node.leaving {
         true => format!(
@@ -139,7 +140,8 @@
     text
 }
 
-/// Recent refusals: counted by reason, with advice, then the newest one by one.
+/// Formats recent refusals: their counts by reason with advice, then the newest ones
+/// one by one.
 pub(super) fn explanation(explanation: &Explanation) -> String {
     if explanation.refusals.is_empty() {
         return "no refusal is recorded on this node; the entry node and the node beside \
@@ -153,7 +155,7 @@
     lines.join("\n")
 }
 
-/// How many refusals the node still has, and over what time.
+/// Formats the number of refusals that the node has on record, and their period.
 fn period(refusals: &[Refusal]) -> String {
     let newest = refusals.first().map_or(0.0, |refusal| refusal.at_seconds);
     let oldest = refusals.last().map_or(0.0, |refusal| refusal.at_seconds);
--- a/crates/ctl/src/outcome.rs
+++ b/crates/ctl/src/outcome.rs
@@ -1,11 +1,11 @@
-//! What a command prints and the exit code it ends with.
+//! The output and the exit code of a command.
 
 use std::io;
 use std::process::ExitCode;
 
 use lifthollow_state::Findings;
 
-/// How the program ends. The numbers are part of the interface.
+/// The exit code of the program. The numbers are part of its interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// 0: done; for `table diff`, the rows are the same.
@@ -14,7 +14,7 @@
     Different = 1,
     /// 2: the arguments or a table have faults; nothing was changed.
     InvalidInput = 2,
-    /// 3: a node could not be reached, or refused what was asked.
+    /// 3: a node could not be reached, or refused the request.
     NodeFailed = 3,
     /// 4: a file could not be read or written.
     FileFailed = 4,
@@ -39,17 +39,17 @@
     }
 }
 
-/// What a command that went through has to say.
+/// The result of a command that ran to its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Text for standard output, without the last line end.
+    /// Text for standard output, without a final line break.
     pub text: String,
-    /// How the program ends.
+    /// The exit code of the program.
     pub outcome: Outcome,
 }
 
 impl Report {
-    /// The report of a command that did what was asked.
+    /// The report of a command that succeeded.
     pub fn done(text: impl Into<String>) -> Self {
         Report {
             text: text.into(),
--- a/crates/ctl/src/table/cell.rs
+++ b/crates/ctl/src/table/cell.rs
@@ -1,4 +1,4 @@
-//! The cells that `table set` names.
+//! Parses the cells that are given to `table set`.
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -7,20 +7,20 @@
 use lifthollow_state::table::{CellEdit, Column};
 use lifthollow_state::{ServiceName, Side};
 
-/// Words that name one cell and its new text.
-const WORDS_OF_ONE_CELL: usize = 3;
+/// Number of arguments that give one cell and its new value.
+const ARGUMENTS_PER_CELL: usize = 3;
 
-/// Reads the arguments that name cells; all faults are reported together.
-pub(super) fn edits_of(words: &[String]) -> Result<Vec<CellEdit>, Findings> {
+/// Parses the arguments that give cells; all faults are reported together.
+pub(super) fn parse_edits(words: &[String]) -> Result<Vec<CellEdit>, Findings> {
     let mut findings = Findings::default();
-    let (cells, rest) = words.as_chunks::<WORDS_OF_ONE_CELL>();
+    let (cells, rest) = words.as_chunks::<ARGUMENTS_PER_CELL>();
     if words.is_empty() || !rest.is_empty() {
         let message = "a cell is given by three words: SERVICE@SIDE COLUMN VALUE";
         findings.add(argument("service@side column value"), message);
     }
     let edits = cells
         .iter()
-        .filter_map(|cell| edit_of(cell, &mut findings))
+        .filter_map(|cell| parse_edit(cell, &mut findings))
         .collect();
     match findings.is_empty() {
         true => Ok(edits),
@@ -28,12 +28,12 @@
     }
 }
 
-fn edit_of(
-    [row, column, value]: &[String; WORDS_OF_ONE_CELL],
+fn parse_edit(
+    [row, column, value]: &[String; ARGUMENTS_PER_CELL],
     findings: &mut Findings,
 ) -> Option<CellEdit> {
-    let row = read(row_of(row), "service@side", findings);
-    let column = read(column_of(column), "column", findings);
+    let row = read(parse_row(row), "service@side", findings);
+    let column = read(parse_column(column), "column", findings);
     let (service, side) = row?;
     Some(CellEdit {
         service,
@@ -53,7 +53,7 @@
     Place::Argument(Arc::from(name))
 }
 
-fn row_of(text: &str) -> Result<(ServiceName, Side), String> {
+fn parse_row(text: &str) -> Result<(ServiceName, Side), String> {
     let Some((service, side)) = text.split_once('@') else {
         return Err(format!("{} is not SERVICE@SIDE", quoted(text)));
     };
@@ -62,7 +62,7 @@
     Ok((service, side))
 }
 
-fn column_of(text: &str) -> Result<Column, String> {
+fn parse_column(text: &str) -> Result<Column, String> {
     let known = Column::list();
     Column::from_name(text)
         .ok_or_else(|| format!("{} is no column; known are {known}", quoted(text)))
--- a/crates/ctl/src/table/mod.rs
+++ b/crates/ctl/src/table/mod.rs
@@ -8,7 +8,7 @@
 use crate::file;
 use crate::outcome::{Outcome, Report};
 
-/// Runs one command on tables.
+/// Runs one command on table files.
 pub fn run(action: &TableAction) -> anyhow::Result<Report> {
     match action {
         TableAction::Check(arguments) => check(arguments),
@@ -57,7 +57,7 @@
 }
 
 fn set(arguments: &TableSet) -> anyhow::Result<Report> {
-    let edits = cell::edits_of(&arguments.cells)?;
+    let edits = cell::parse_edits(&arguments.cells)?;
     let lock = file::Lock::acquire(&arguments.file)?;
     let before_bytes = file::read(&arguments.file)?;
     let before = table::parse(&arguments.file, &before_bytes)?;
--- a/crates/ctl/tests/node_commands.rs
+++ b/crates/ctl/tests/node_commands.rs
@@ -1,4 +1,4 @@
-//! What the commands that ask a node do when it gives no usable answer.
+//! Tests of the commands that query a node, when it gives no usable answer.
 
 mod support;
 
@@ -7,7 +7,8 @@
 
 use support::{Directory, ctl};
 
-/// A listener that gives one answer to one connection, whatever is asked.
+/// Starts a server that sends `answer` to its first connection, whatever the request,
+/// and returns its address.
 fn one_answer(answer: &'static str) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("it has an address");
@@ -21,7 +22,7 @@
 }
 
 #[test]
-fn an_address_without_a_node_fails_with_code_3() {
+fn unreachable_address_fails_with_code_3() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     drop(listener);
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn a_wrong_address_is_a_fault_of_the_arguments() {
+fn malformed_address_is_a_fault_of_the_arguments() {
     let run = ctl(&["members", "node-7"]);
     assert_eq!(run.code, 2);
     assert!(
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn answers_that_are_no_answers_fail_with_code_3() {
+fn unusable_answers_fail_with_code_3() {
     let cases = [
         (
             "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n",
@@ -54,11 +55,11 @@
         ),
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
-            "something else than expected: missing field",
+            "an unexpected body: missing field",
         ),
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}",
-            "the answer broke off",
+            "the answer ended early",
         ),
         ("SSH-2.0\r\n", "no answer"),
     ];
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn snapshot_is_written_as_it_came_and_overwrites_nothing() {
+fn snapshot_is_written_unchanged_and_overwrites_no_file() {
     const ANSWER: &str = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"new\":1}";
     let directory = Directory::new();
     let path = directory.path("node.json");
@@ -83,6 +84,10 @@
     assert_eq!(std::fs::read_to_string(&path).unwrap(), "{\"new\":1}");
     let again = ctl(&["snapshot", &one_answer(ANSWER), "--out", &path]);
     assert_eq!(again.code, 4);
-    assert!(again.errors.contains("can't be made"), "{}", again.errors);
+    assert!(
+        again.errors.contains("can't be created"),
+        "{}",
+        again.errors
+    );
     assert_eq!(directory.names(), ["node.json"]);
 }
