--- a/crates/ctl/tests/log_commands.rs
+++ b/crates/ctl/tests/log_commands.rs
@@ -1,4 +1,4 @@
-//! `lifthollowctl causes`, run as a program.
+//! Tests of `lifthollowctl causes`, run as a process.
 
 mod support;
 
@@ -12,7 +12,7 @@
 {"msg":"request not served","ts":"2026-12-02T14:05:46.3Z","request":"a2","service":"feeds","nested":false,"outcome":"refused","why":"overloaded"}
 {"msg":"request not served","ts":"2026-12-02T14:05:47.1Z","request":"a3","service":"feeds","nested":false,"outcome":"refused","why":"overloaded"}
 {"msg":"request not served","ts":"2026-12-02T14:05:47.2Z","request":"a4","service":"feeds","nested":false,"outcome":"refused","why":"overloaded"}
-not a line of ours
+not a line of a node
 {"msg":"request not served","cut off
 {"msg":"log lines left out","ts":"2026-12-02T14:05:47.5Z","count":12}
 "#;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_log_that_is_not_there_is_named() {
+fn missing_log_file_is_named_in_the_error() {
     let run = ctl(&["causes", "/nowhere/node.log"]);
     assert_eq!(run.code, 4);
     assert!(run.errors.contains("/nowhere/node.log"), "{}", run.errors);
--- a/crates/ctl/tests/support/mod.rs
+++ b/crates/ctl/tests/support/mod.rs
@@ -1,22 +1,22 @@
-//! Runs the program and keeps its files apart from other tests.
-#![allow(dead_code)] // each test file uses its own part
+//! Test support: runs the program, in a separate directory for each test.
+#![allow(dead_code)] // each test file uses only a part of this module
 
 use std::fs;
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// What a run of the program gave.
+/// The result of a run of the program.
 pub struct Run {
-    /// Its exit code.
+    /// Exit code of the program.
     pub code: i32,
-    /// Its standard output.
+    /// Standard output of the program.
     pub output: String,
-    /// Its standard error.
+    /// Standard error of the program.
     pub errors: String,
 }
 
-/// Runs `lifthollowctl`.
+/// Runs `lifthollowctl` with these arguments until it exits.
 pub fn ctl(arguments: &[&str]) -> Run {
     let output = Command::new(env!("CARGO_BIN_EXE_lifthollowctl"))
         .args(arguments)
@@ -29,11 +29,11 @@
     }
 }
 
-/// A directory of one test, removed at its end.
+/// A temporary directory of one test, removed when it is dropped.
 pub struct Directory(PathBuf);
 
 impl Directory {
-    /// An empty directory.
+    /// Creates an empty directory.
     pub fn new() -> Self {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let count = COUNT.fetch_add(1, Ordering::Relaxed);
--- a/crates/ctl/tests/table_commands.rs
+++ b/crates/ctl/tests/table_commands.rs
@@ -1,4 +1,4 @@
-//! `lifthollowctl table`, run as a program.
+//! Tests of `lifthollowctl table`, run as a process.
 
 mod support;
 
@@ -15,7 +15,7 @@
     top-up,old,90,8,16,130,critical,no,2000\r\n\
     top-up,new,10,8,16,130,critical,no,2000\r\n";
 
-/// Writes a file of the directory and returns its path.
+/// Writes a file in the directory and returns its path.
 fn write_file(directory: &Directory, name: &str, content: &str) -> String {
     let path = directory.path(name);
     fs::write(&path, content).expect("a file can be written");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn set_that_would_make_a_bad_table_changes_nothing() {
+fn set_that_would_make_an_invalid_table_changes_nothing() {
     let directory = Directory::new();
     let file = write_file(&directory, "table.csv", TABLE);
     let cases: [(&[&str], &str); 8] = [
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn set_keeps_permissions_and_links() {
+fn set_keeps_permissions_and_symbolic_links() {
     let directory = Directory::new();
     let file = write_file(&directory, "table.csv", TABLE);
     fs::set_permissions(&file, fs::Permissions::from_mode(0o640)).unwrap();
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn edits_at_the_same_time_follow_each_other() {
+fn concurrent_edits_of_a_table_are_all_applied() {
     const EDITORS: u32 = 8;
     let directory = Directory::new();
     let file = write_file(&directory, "table.csv", TABLE);
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn exit_codes_tell_files_arguments_and_help_apart() {
+fn exit_codes_distinguish_file_errors_argument_errors_and_help() {
     let missing = ctl(&["table", "check", "/nonexistent/table.csv"]);
     assert_eq!(missing.code, 4);
     assert!(
@@ -196,7 +196,8 @@
     assert!(help.output.contains("table set"));
 }
 
-/// The lines that the operators' page shows after a text that it contains.
+/// The lines that the operators' page shows after `text`, up to the next command or
+/// the end of the code block.
 fn shown_after(text: &str) -> Vec<&'static str> {
     let (_, rest) = PAGE.split_once(text).expect("the page has the text");
     let lines = rest.lines().skip(1);
@@ -206,7 +207,7 @@
 }
 
 #[test]
-fn the_examples_of_the_page_give_what_it_shows() {
+fn examples_of_the_table_page_give_the_output_it_shows() {
     let directory = Directory::new();
     let text = shown_after("```csv").join("\n");
     let file = write_file(&directory, "table.csv", &text);
@@ -216,7 +217,7 @@
     let set = ctl(&[&["table", "set", &file], &words[..]].concat());
     let shown = shown_after(&words.join(" "));
     let printed: Vec<&str> = set.output.lines().collect();
-    // The first line has the digests, about whose digits the page promises nothing.
+    // The first line has the digests, whose digits may differ from those on the page.
     assert_eq!(printed[1..], shown[1..]);
 
     let broken = text
