--- a/crates/ctl/tests/log_commands.rs
+++ b/crates/ctl/tests/log_commands.rs
@@ -12,7 +12,7 @@
 {"msg":"request not served","ts":"2026-12-02T14:05:46.3Z","request":"a2","service":"feeds","nested":false,"outcome":"refused","why":"overloaded"}
 {"msg":"request not served","ts":"2026-12-02T14:05:47.1Z","request":"a3","service":"feeds","nested":false,"outcome":"refused","why":"overloaded"}
 {"msg":"request not served","ts":"2026-12-02T14:05:47.2Z","request":"a4","service":"feeds","nested":false,"outcome":"refused","why":"overloaded"}
-not a line of a node
+not a line of ours
 {"msg":"request not served","cut off
 {"msg":"log lines left out","ts":"2026-12-02T14:05:47.5Z","count":12}
 "#;
--- a/crates/daemon/src/traffic/attempt.rs
+++ b/crates/daemon/src/traffic/attempt.rs
@@ -327,8 +327,8 @@
     }
 }
 
-/// Sends the body of the back end's answer. If the body ends early, the stream ends
-/// without its end mark.
+/// Sends the body of the back end's answer. If the body ends early, the stream is
+/// dropped unfinished.
 async fn forward(mut sender: BodySender, body_prefix: Vec<Bytes>, mut body: BackendBody) {
     for data in body_prefix {
         if sender.send(data).await.is_err() {
