--- a/crates/coordination/src/mesh/snapshot_store/departures.rs
+++ b/crates/coordination/src/mesh/snapshot_store/departed_servers.rs
@@ -52,7 +52,7 @@
 
 /// Servers whose entries are missing, and servers that only a restored backup lists.
 #[derive(Clone, Debug)]
-pub(super) struct Departures {
+pub(super) struct DepartedServers {
     vanished: BTreeMap<InstanceId, Vanished>,
     removed: BTreeMap<InstanceId, LastEntry>,
     /// The keys of `removed`, oldest removal first.
@@ -63,17 +63,17 @@
     entry_lifetime: Duration,
 }
 
-impl Default for Departures {
+impl Default for DepartedServers {
     fn default() -> Self {
-        Departures::new(ENTRY_LIFETIME)
+        DepartedServers::new(ENTRY_LIFETIME)
     }
 }
 
-impl Departures {
+impl DepartedServers {
     /// Creates an empty record for a source whose entries expire `entry_lifetime` after their last
     /// renewal.
     pub(super) fn new(entry_lifetime: Duration) -> Self {
-        Departures {
+        DepartedServers {
             vanished: BTreeMap::new(),
             removed: BTreeMap::new(),
             removal_order: VecDeque::new(),
--- a/crates/coordination/src/mesh/snapshot_store/mod.rs
+++ b/crates/coordination/src/mesh/snapshot_store/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! A node learns of changes from the source itself and, if the source doesn't answer it, from other
 //! nodes. Whichever way they arrive, older data never replaces newer data. This also holds if the
-//! source is restored from a backup and lacks recent changes for a while ([`departures`]).
+//! source is restored from a backup and lacks recent changes for a while ([`departed_servers`]).
 
 mod change_log;
-mod departures;
+mod departed_servers;
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -20,7 +20,7 @@
 };
 
 use change_log::ChangeLog;
-use departures::{Departures, MissingReason};
+use departed_servers::{DepartedServers, MissingReason};
 
 /// The effect of applying a change to the snapshot.
 #[derive(Clone, Debug, PartialEq)]
@@ -30,16 +30,16 @@
     /// The list of servers changed.
     Servers,
     /// The change had no effect: it was not newer than what is known.
-    Nothing,
+    Unchanged,
     /// The configuration is invalid; the previous one stays in force.
-    Refused(Vec<ConfigurationError>),
+    Rejected(Vec<ConfigurationError>),
 }
 
 /// The snapshot in force, with the log of changes that led to it.
 #[derive(Clone, Debug, Default)]
 pub struct SnapshotStore {
     snapshot: Arc<Snapshot>,
-    departures: Departures,
+    departed_servers: DepartedServers,
     /// The revisions of the entries at each address. There are few per address.
     revisions_by_address: HashMap<SocketAddrV4, Vec<Revision>>,
     /// The most recent changes, for nodes that are behind.
@@ -51,7 +51,7 @@
     /// renewal.
     pub fn new(entry_lifetime: Duration) -> Self {
         SnapshotStore {
-            departures: Departures::new(entry_lifetime),
+            departed_servers: DepartedServers::new(entry_lifetime),
             ..SnapshotStore::default()
         }
     }
@@ -64,7 +64,7 @@
     /// Applies one change that was made at `revision`.
     pub fn apply(&mut self, now: Timestamp, revision: Revision, change: Change) -> Applied {
         if !revision.continues(self.snapshot.revision) {
-            return Applied::Nothing;
+            return Applied::Unchanged;
         }
         self.changes.append(RevisedChange {
             revision,
@@ -76,7 +76,7 @@
             Change::ServerGone(id) => self.apply_server_gone(now, revision, &id),
             Change::ServerOverwritten(id) => match self.remove_server(revision, &id) {
                 Some(_) => Applied::Servers,
-                None => Applied::Nothing,
+                None => Applied::Unchanged,
             },
         }
     }
@@ -118,7 +118,7 @@
     /// Whether a node with a snapshot of version `theirs` must be sent the whole snapshot: the log
     /// lacks some of the changes since then, or they don't include the configuration that is in
     /// force here.
-    pub fn needs_whole(&self, theirs: SnapshotVersion) -> bool {
+    pub fn needs_whole_snapshot(&self, theirs: SnapshotVersion) -> bool {
         let configuration = self.version().configuration;
         let has_configuration = theirs.configuration >= configuration
             || self
@@ -129,7 +129,7 @@
 
     /// Returns the update for a node with a snapshot of version `theirs`.
     pub fn update_since(&self, theirs: SnapshotVersion) -> Update {
-        match self.needs_whole(theirs) {
+        match self.needs_whole_snapshot(theirs) {
             true => Update::Whole((*self.snapshot).clone()),
             false => {
                 let newest = self.snapshot.revision;
@@ -145,9 +145,9 @@
         if newer.revision < self.snapshot.revision {
             let configuration = newer.configuration.into_iter();
             let applied = configuration.map(|newest| self.apply_configuration(newest));
-            return applied.filter(|one| *one != Applied::Nothing).collect();
+            return applied.filter(|one| *one != Applied::Unchanged).collect();
         }
-        self.departures
+        self.departed_servers
             .correct_snapshot(now, &self.snapshot, &mut newer);
         self.changes.append_difference(&self.snapshot, &newer);
         let mut applied = Vec::new();
@@ -162,7 +162,7 @@
             };
             for (id, known) in before {
                 if newer.server(&id).is_none() {
-                    self.departures.record_missing(now, known, reason);
+                    self.departed_servers.record_missing(now, known, reason);
                 }
             }
             Arc::make_mut(&mut self.snapshot).servers = newer.servers;
@@ -179,14 +179,14 @@
     /// still listed after their entries would have expired. Returns whether anything changed. The
     /// source has been available since `available_since`. This is `None` during an outage: then
     /// nothing is forgotten, as no server can rewrite its entry.
-    pub fn forget_vanished(&mut self, now: Timestamp, available_since: Option<Timestamp>) -> bool {
-        available_since.is_some_and(|since| self.departures.expire(now, since))
+    pub fn expire_vanished(&mut self, now: Timestamp, available_since: Option<Timestamp>) -> bool {
+        available_since.is_some_and(|since| self.departed_servers.expire(now, since))
     }
 
     /// Returns the servers that vanished without announcing that they leave, and that are still
     /// remembered.
     pub fn recently_vanished(&self) -> Vec<ServerInstance> {
-        self.departures.recently_vanished().cloned().collect()
+        self.departed_servers.recently_vanished().cloned().collect()
     }
 
     /// Returns the servers that are believed to exist. Only servers of configured services count.
@@ -195,16 +195,16 @@
     /// the source lost by a restore is included unless another has its address. A server that
     /// vanished without an announcement, or that was removed and only a restored backup lists, is
     /// included only while its service has no other server.
-    pub fn servers_in_force(&self) -> Vec<ServerInstance> {
+    pub fn active_servers(&self) -> Vec<ServerInstance> {
         let listed = self.snapshot.servers.values();
         let listed = listed.filter(|known| self.is_configured(known) && !self.is_superseded(known));
         let is_unconfirmed =
-            |known: &&KnownServer| self.departures.is_unconfirmed(&known.instance.id);
+            |known: &&KnownServer| self.departed_servers.is_unconfirmed(&known.instance.id);
         let (unconfirmed, trusted): (Vec<_>, Vec<_>) = listed.partition(is_unconfirmed);
         let trusted = trusted.into_iter().map(|known| known.instance.clone());
         let mut servers: Vec<ServerInstance> = trusted.collect();
         self.add_lost_servers(&mut servers);
-        let vanished = self.departures.recently_vanished();
+        let vanished = self.departed_servers.recently_vanished();
         let unconfirmed = unconfirmed.into_iter().map(|known| &known.instance);
         let last_resorts: Vec<ServerInstance> = vanished
             .chain(unconfirmed)
@@ -220,7 +220,7 @@
     }
 
     fn add_lost_servers(&self, servers: &mut Vec<ServerInstance>) {
-        for lost in self.departures.lost_by_restore() {
+        for lost in self.departed_servers.lost_by_restore() {
             let is_taken = servers.iter().any(|server| server.address == lost.address);
             if !is_taken {
                 servers.push(lost.clone());
@@ -277,11 +277,11 @@
     fn apply_configuration(&mut self, configuration: Configuration) -> Applied {
         let known = self.snapshot.configuration.as_ref();
         if known.is_some_and(|known| known.version >= configuration.version) {
-            return Applied::Nothing;
+            return Applied::Unchanged;
         }
         let findings = configuration.findings();
         if !findings.is_empty() {
-            return Applied::Refused(findings);
+            return Applied::Rejected(findings);
         }
         Arc::make_mut(&mut self.snapshot).configuration = Some(configuration);
         Applied::Configuration
@@ -290,10 +290,10 @@
     fn apply_server(&mut self, revision: Revision, instance: ServerInstance) -> Applied {
         let known = self.snapshot.server(&instance.id);
         if known.is_some_and(|known| known.revision >= revision) {
-            return Applied::Nothing;
+            return Applied::Unchanged;
         }
         let id = instance.id.clone();
-        self.departures.record_written(&id);
+        self.departed_servers.record_written(&id);
         // Remove the entries of all other incarnations with the same identity.
         while let Some(known) = self.snapshot.server(&id) {
             let former = known.instance.id.clone();
@@ -311,11 +311,11 @@
     ) -> Applied {
         match self.remove_server(revision, id) {
             Some(server) => {
-                self.departures
+                self.departed_servers
                     .record_missing(now, server, MissingReason::Removed);
                 Applied::Servers
             }
-            None => Applied::Nothing,
+            None => Applied::Unchanged,
         }
     }
 
--- a/crates/coordination/src/mesh/source_following.rs
+++ b/crates/coordination/src/mesh/source_following.rs
@@ -6,7 +6,7 @@
 //! all nodes lack something at the same moment: when they all start, or when the source has
 //! compacted its history and answers only full reads.
 //!
-//! A node is in one of four states ([`Following`]). It asks other nodes first. Its requests to the
+//! A node is in one of four states ([`FollowMode`]). It asks other nodes first. Its requests to the
 //! source after that are delayed by a random time that is rarely short ([`rarely_short_delay`]):
 //! few of many nodes send one, and these tell the others in the meantime.
 //!
@@ -19,7 +19,7 @@
 use lifthollow_state::mesh::Revision;
 use rand::{Rng, RngExt};
 
-use crate::mesh::view_freshness::{self, ACCEPTED_AGE, Role};
+use crate::mesh::view_freshness::{self, MAX_ACCEPTED_AGE, Role};
 
 /// Mean time between two reads that look for other nodes. If no other node exists yet, the first
 /// nodes that find others tell the rest.
@@ -62,7 +62,7 @@
 
 /// How a node follows the source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Following {
+pub enum FollowMode {
     /// The node has no snapshot yet.
     Starting,
     /// The node learns from other nodes.
@@ -75,7 +75,7 @@
 
 /// The state of a node on which its next step depends.
 #[derive(Clone, Copy, Debug)]
-pub struct Known {
+pub struct NodeStatus {
     /// The revision of the node's snapshot.
     pub revision: Revision,
     /// Whether the node is one of the few that watch the source.
@@ -88,7 +88,7 @@
     pub view_age: Option<Duration>,
 }
 
-impl Known {
+impl NodeStatus {
     /// The role that determines at which age the node checks its view.
     pub fn role(self) -> Role {
         match (self.is_watcher, self.is_busy) {
@@ -99,32 +99,32 @@
     }
 
     fn is_fresh(self) -> bool {
-        self.view_age.is_some_and(|age| age <= ACCEPTED_AGE)
+        self.view_age.is_some_and(|age| age <= MAX_ACCEPTED_AGE)
     }
 }
 
 /// What a node does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum FollowStep {
     /// Do nothing for this long.
     Wait(Duration),
     /// Ask other nodes for the missing changes, with this time limit.
     AskNodes(Duration),
     /// Read the servers' addresses from the source, with a read that may be stale, to find nodes to
     /// ask.
-    FindNodes,
+    ReadNodeAddresses,
     /// Read all items from the source.
     ReadAll,
     /// Ask the source for its newest revision. A watch would not serve for this: it may not be
     /// answered while there are no changes.
-    AskForNewest,
+    ReadNewestRevision,
     /// Watch the source for its next change.
     Watch,
 }
 
-impl Step {
+impl FollowStep {
     fn asks_source(self) -> bool {
-        !matches!(self, Step::Wait(_) | Step::AskNodes(_))
+        !matches!(self, FollowStep::Wait(_) | FollowStep::AskNodes(_))
     }
 }
 
@@ -190,92 +190,102 @@
     }
 
     /// Returns how the node follows the source.
-    pub fn following(&self, known: Known) -> Following {
+    pub fn following(&self, status: NodeStatus) -> FollowMode {
         match self.behind_since {
-            _ if known.revision.is_none() => Following::Starting,
-            Some(_) => Following::CatchingUp,
-            None if known.is_watcher => Following::Watching,
-            None => Following::Listening,
+            _ if status.revision.is_none() => FollowMode::Starting,
+            Some(_) => FollowMode::CatchingUp,
+            None if status.is_watcher => FollowMode::Watching,
+            None => FollowMode::Listening,
         }
     }
 
     /// Returns what the node is to do now.
-    pub fn step(&mut self, now: Timestamp, known: Known, random: &mut impl Rng) -> Step {
-        let is_still_behind = |since: &Revision| known.revision <= *since || !known.is_fresh();
+    pub fn step(
+        &mut self,
+        now: Timestamp,
+        status: NodeStatus,
+        random: &mut impl Rng,
+    ) -> FollowStep {
+        let is_still_behind = |since: &Revision| status.revision <= *since || !status.is_fresh();
         self.behind_since = self.behind_since.filter(is_still_behind);
-        let step = match self.following(known) {
-            Following::Starting => self.step_while_starting(now, known, random),
-            Following::Listening => self.step_while_listening(now, known),
-            Following::Watching => Step::Watch,
-            Following::CatchingUp => self.step_while_catching_up(now, known),
+        let step = match self.following(status) {
+            FollowMode::Starting => self.step_while_starting(now, status, random),
+            FollowMode::Listening => self.step_while_listening(now, status),
+            FollowMode::Watching => FollowStep::Watch,
+            FollowMode::CatchingUp => self.step_while_catching_up(now, status),
         };
         let step = match step {
-            Step::Wait(time) => Step::Wait(time.clamp(MIN_WAIT, MAX_WAIT)),
-            step if step.asks_source() && now < self.backoff_end(known) => self.defer(now, known),
+            FollowStep::Wait(time) => FollowStep::Wait(time.clamp(MIN_WAIT, MAX_WAIT)),
+            step if step.asks_source() && now < self.backoff_end(status) => self.defer(now, status),
             step => step,
         };
-        if step == Step::ReadAll {
+        if step == FollowStep::ReadAll {
             self.last_read = Some(now);
         }
         step
     }
 
-    fn step_while_starting(&mut self, now: Timestamp, known: Known, random: &mut impl Rng) -> Step {
+    fn step_while_starting(
+        &mut self,
+        now: Timestamp,
+        status: NodeStatus,
+        random: &mut impl Rng,
+    ) -> FollowStep {
         let is_backing_off = now < self.backoff_until;
         if now >= self.read_at && !is_backing_off {
             self.read_at = now + rarely_short_delay(MAX_READ_DELAY_ALONE, random);
-            return Step::ReadAll;
+            return FollowStep::ReadAll;
         }
-        if known.knows_nodes && now >= self.ask_at {
+        if status.knows_nodes && now >= self.ask_at {
             self.ask_at = now + jittered(START_ASK_INTERVAL, random);
             let until = self.read_at.max(self.backoff_until);
-            return Step::AskNodes(until.saturating_since(now));
+            return FollowStep::AskNodes(until.saturating_since(now));
         }
         if now >= self.search_at && !is_backing_off {
             self.search_at = now + jittered(SEARCH_INTERVAL, random);
-            return Step::FindNodes;
+            return FollowStep::ReadNodeAddresses;
         }
         let next = self.read_at.min(self.search_at).max(self.backoff_until);
-        let next = if known.knows_nodes {
+        let next = if status.knows_nodes {
             next.min(self.ask_at)
         } else {
             next
         };
-        Step::Wait(next.saturating_since(now))
+        FollowStep::Wait(next.saturating_since(now))
     }
 
-    fn step_while_listening(&mut self, now: Timestamp, known: Known) -> Step {
-        let limit = view_freshness::age_limit(known.role(), self.age_fraction);
-        let age = known.view_age.unwrap_or(Duration::MAX);
+    fn step_while_listening(&mut self, now: Timestamp, status: NodeStatus) -> FollowStep {
+        let limit = view_freshness::age_limit(status.role(), self.age_fraction);
+        let age = status.view_age.unwrap_or(Duration::MAX);
         if age < limit {
             self.asked_without_success = false;
-            return Step::Wait(limit - age);
+            return FollowStep::Wait(limit - age);
         }
         if now < self.ask_at {
-            return Step::Wait(self.ask_at.saturating_since(now));
+            return FollowStep::Wait(self.ask_at.saturating_since(now));
         }
-        if self.asked_without_success || !known.knows_nodes {
-            return Step::AskForNewest;
+        if self.asked_without_success || !status.knows_nodes {
+            return FollowStep::ReadNewestRevision;
         }
-        Step::AskNodes(Duration::MAX)
+        FollowStep::AskNodes(Duration::MAX)
     }
 
-    fn step_while_catching_up(&mut self, now: Timestamp, known: Known) -> Step {
+    fn step_while_catching_up(&mut self, now: Timestamp, status: NodeStatus) -> FollowStep {
         if now >= self.read_at {
-            return Step::ReadAll;
+            return FollowStep::ReadAll;
         }
-        if known.knows_nodes && now >= self.ask_at {
+        if status.knows_nodes && now >= self.ask_at {
             self.ask_at = now + CATCH_UP_ASK_INTERVAL;
-            return Step::AskNodes(self.read_at.saturating_since(now));
+            return FollowStep::AskNodes(self.read_at.saturating_since(now));
         }
-        Step::Wait(self.read_at.min(self.ask_at).saturating_since(now))
+        FollowStep::Wait(self.read_at.min(self.ask_at).saturating_since(now))
     }
 
     /// Returns the time before which no requests are sent to the source.
-    fn backoff_end(&self, known: Known) -> Timestamp {
-        let learns_from_others = !known.is_watcher && known.knows_nodes;
-        match self.following(known) {
-            Following::Listening | Following::CatchingUp if learns_from_others => {
+    fn backoff_end(&self, status: NodeStatus) -> Timestamp {
+        let learns_from_others = !status.is_watcher && status.knows_nodes;
+        match self.following(status) {
+            FollowMode::Listening | FollowMode::CatchingUp if learns_from_others => {
                 self.listener_backoff_until
             }
             _ => self.backoff_until,
@@ -284,36 +294,36 @@
 
     /// Returns what to do during the delay after an error of the source. Other nodes may reach the
     /// source, so a node whose view is no longer fresh asks these meanwhile.
-    fn defer(&mut self, now: Timestamp, known: Known) -> Step {
-        let may_ask = known.knows_nodes && !known.is_fresh();
+    fn defer(&mut self, now: Timestamp, status: NodeStatus) -> FollowStep {
+        let may_ask = status.knows_nodes && !status.is_fresh();
         if may_ask && now >= self.ask_at {
             self.ask_at = now + MIN_ASK_INTERVAL;
-            return Step::AskNodes(Duration::MAX);
+            return FollowStep::AskNodes(Duration::MAX);
         }
         let end = match may_ask {
-            true => self.backoff_end(known).min(self.ask_at),
-            false => self.backoff_end(known),
+            true => self.backoff_end(status).min(self.ask_at),
+            false => self.backoff_end(status),
         };
-        Step::Wait(end.saturating_since(now).min(MAX_WAIT))
+        FollowStep::Wait(end.saturating_since(now).min(MAX_WAIT))
     }
 
-    /// Handles the end of a round in which other nodes were asked. `known` is the node's state
+    /// Handles the end of a round in which other nodes were asked. `status` is the node's state
     /// after that.
-    pub fn nodes_asked(&mut self, now: Timestamp, known: Known, random: &mut impl Rng) {
-        match self.following(known) {
-            Following::Starting if self.is_chosen => self.read_at = now,
-            Following::Listening if known.is_fresh() => {
+    pub fn on_nodes_asked(&mut self, now: Timestamp, status: NodeStatus, random: &mut impl Rng) {
+        match self.following(status) {
+            FollowMode::Starting if self.is_chosen => self.read_at = now,
+            FollowMode::Listening if status.is_fresh() => {
                 self.ask_at = now + MIN_ASK_INTERVAL;
                 self.draw_age_fraction(random);
             }
-            Following::Listening => self.asked_without_success = true,
-            Following::Starting | Following::Watching | Following::CatchingUp => {}
+            FollowMode::Listening => self.asked_without_success = true,
+            FollowMode::Starting | FollowMode::Watching | FollowMode::CatchingUp => {}
         }
     }
 
     /// Handles the answer to a read that looks for other nodes. `are_any` tells whether it listed
     /// any, and `is_chosen` whether this node is a watcher according to that list.
-    pub fn nodes_found(
+    pub fn on_nodes_found(
         &mut self,
         now: Timestamp,
         are_any: bool,
@@ -339,7 +349,7 @@
 
     /// Handles an answer of the source that brought the node up to date: changes, the confirmation
     /// that there are none, or a full read.
-    pub fn brought_up_to_date(&mut self, random: &mut impl Rng) {
+    pub fn on_up_to_date(&mut self, random: &mut impl Rng) {
         self.reset_backoff();
         self.behind_since = None;
         self.asked_without_success = false;
@@ -347,12 +357,12 @@
     }
 
     /// Handles the answer that the source no longer has the changes since the node's snapshot.
-    pub fn fell_behind(&mut self, now: Timestamp, known: Known, random: &mut impl Rng) {
+    pub fn on_fell_behind(&mut self, now: Timestamp, status: NodeStatus, random: &mut impl Rng) {
         self.reset_backoff();
         self.asked_without_success = false;
-        self.behind_since = Some(known.revision);
+        self.behind_since = Some(status.revision);
         self.ask_at = now;
-        let read_at = match known.is_watcher {
+        let read_at = match status.is_watcher {
             true => now,
             false => now + rarely_short_delay(MAX_READ_DELAY_BEHIND, random),
         };
@@ -361,7 +371,7 @@
     }
 
     /// Handles a request that the source refused or did not answer.
-    pub fn source_failed(&mut self, now: Timestamp, random: &mut impl Rng) {
+    pub fn on_source_error(&mut self, now: Timestamp, random: &mut impl Rng) {
         self.search_at = self
             .search_at
             .min(now + jittered(FAILED_SEARCH_INTERVAL, random));
--- a/crates/coordination/src/mesh/view_freshness.rs
+++ b/crates/coordination/src/mesh/view_freshness.rs
@@ -11,8 +11,8 @@
 //! packets are retransmitted. Only the node that sent the request has an upper bound for it, on its
 //! own clock: the time since the request. So ages are taken from answers only, and all of that time
 //! is added except for the time during which the other node held the request
-//! ([`NamedAge::at_most`]). Such an age may be too large but never too small, however often it is
-//! passed on.
+//! ([`ReportedAge::max_age_on_arrival`]). Such an age may be too large but never too small, however
+//! often it is passed on.
 //!
 //! Without that bound, delayed messages made a view of 4.1 s count as confirmed 39 ms ago, and its
 //! node asked nobody (simulated nodes, test
@@ -61,27 +61,27 @@
 
 /// Maximum age of another node's view at which a node accepts it instead of a request to the
 /// source.
-pub const ACCEPTED_AGE: Duration = Duration::from_millis(1000);
+pub const MAX_ACCEPTED_AGE: Duration = Duration::from_millis(1000);
 
 /// Maximum age of another watcher's view at which a watcher accepts it instead of a request to the
 /// source. It is below the minimum age at which a watcher asks, so that a watcher does not ask
 /// others all the time.
-pub const SPARED_AGE: Duration = Duration::from_millis(400);
+pub const MAX_ACCEPTED_AGE_FOR_WATCHER: Duration = Duration::from_millis(400);
 
 /// The age of another node's view, as reported in its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NamedAge {
+pub struct ReportedAge {
     /// The age of the other node's view when the answer was written.
     pub age: Duration,
     /// How long the other node held the request before it answered.
-    pub held: Duration,
+    pub hold_time: Duration,
 }
 
-impl NamedAge {
+impl ReportedAge {
     /// Returns the maximum age that the view can have when the answer arrives, `took` after the
     /// request was sent.
-    pub fn at_most(self, took: Duration) -> Duration {
-        self.age + took.saturating_sub(self.held)
+    pub fn max_age_on_arrival(self, took: Duration) -> Duration {
+        self.age + took.saturating_sub(self.hold_time)
     }
 }
 
--- a/crates/coordination/src/mesh/watchers.rs
+++ b/crates/coordination/src/mesh/watchers.rs
@@ -24,7 +24,7 @@
 
 /// Returns the addresses of the servers whose nodes watch: the same number in each zone, at least
 /// one, and enough to have [`MIN_WATCHERS`] in total.
-pub fn watchers(servers: &[ServerInstance]) -> Vec<SocketAddrV4> {
+pub fn choose_watchers(servers: &[ServerInstance]) -> Vec<SocketAddrV4> {
     let mut zones: BTreeMap<&str, Vec<SocketAddrV4>> = BTreeMap::new();
     for server in servers {
         zones.entry(&server.zone).or_default().push(server.address);
@@ -41,7 +41,7 @@
 
 /// The location of a node.
 #[derive(Clone, Copy, Debug)]
-pub struct Place<'a> {
+pub struct NodeLocation<'a> {
     /// The zone of the node.
     pub zone: &'a str,
     /// The address of the server beside the node.
@@ -51,12 +51,12 @@
 /// Returns which nodes a starting node that knows `servers` asks for a snapshot, as the addresses
 /// of the servers beside them. The watchers of its own zone come first, so that neither few nodes
 /// nor the links between zones bear the load when a whole fleet starts.
-pub fn nodes_to_ask(
+pub fn choose_nodes_to_ask(
     servers: &[ServerInstance],
-    own: Place<'_>,
+    own: NodeLocation<'_>,
     random: &mut impl Rng,
 ) -> Vec<SocketAddrV4> {
-    let chosen = watchers(servers);
+    let chosen = choose_watchers(servers);
     let others = |server: &&ServerInstance| server.address != own.address;
     let zone_servers = servers
         .iter()
--- a/crates/coordination/tests/mesh_authentication.rs
+++ b/crates/coordination/tests/mesh_authentication.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lifthollow_coordination::mesh::tenants::authentication::{Denial, KeyTable, MaxViewAge};
-use lifthollow_coordination::mesh::view_freshness::{NamedAge, ViewFreshness};
+use lifthollow_coordination::mesh::view_freshness::{ReportedAge, ViewFreshness};
 use lifthollow_state::Timestamp;
 use lifthollow_state::mesh::{Configuration, KeyDigest, Route, Tenant};
 use mesh_support::{configuration, ms, route};
@@ -163,8 +163,8 @@
             now = now + Duration::from_millis(u64::from(response_ms) % 2000);
             if revision >= chain.revisions[node] && let Some(age) = age {
                 chain.revisions[node] = revision;
-                let named = NamedAge { age, held: Duration::ZERO };
-                let age = named.at_most(now.saturating_since(asked));
+                let reported = ReportedAge { age, hold_time: Duration::ZERO };
+                let age = reported.max_age_on_arrival(now.saturating_since(asked));
                 chain.views[node].confirm(now, now.saturating_sub(age));
             }
             now = now + Duration::from_millis(u64::from(pause_ms) % 3000);
--- a/crates/coordination/tests/mesh_eras.rs
+++ b/crates/coordination/tests/mesh_eras.rs
@@ -69,7 +69,7 @@
 }
 
 fn ready_servers(node: &SnapshotStore) -> Vec<String> {
-    let servers = node.servers_in_force();
+    let servers = node.active_servers();
     let ready = servers.iter().filter(|server| server.is_ready());
     let mut ready: Vec<String> = ready.map(|server| server.id.to_string()).collect();
     ready.sort();
@@ -94,12 +94,12 @@
     let mut node = node_before_restore();
     let joined = || Change::Server(server("i-new", "a", 4));
     let other = Revision::new(2, 21);
-    assert_eq!(node.apply(at(1000), other, joined()), Applied::Nothing);
+    assert_eq!(node.apply(at(1000), other, joined()), Applied::Unchanged);
     node.advance(other);
     assert_eq!(node.snapshot().revision, Revision::new(1, 20));
     node.replace(at(1001), restored_snapshot(2));
     let former = Revision::new(1, 21);
-    assert_eq!(node.apply(at(1002), former, joined()), Applied::Nothing);
+    assert_eq!(node.apply(at(1002), former, joined()), Applied::Unchanged);
     let next = Revision::new(2, 17);
     assert_eq!(node.apply(at(1003), next, joined()), Applied::Servers);
 }
@@ -130,7 +130,7 @@
     let again = Change::Configuration(configuration_of_version(21));
     assert_eq!(
         node.apply(at(1001), Revision::new(2, 17), again),
-        Applied::Nothing
+        Applied::Unchanged
     );
     let newest = Change::Configuration(configuration_of_version(25));
     assert_eq!(
@@ -190,7 +190,7 @@
     node.apply(at(21), Revision::new(1, 21), gone);
     node.advance(Revision::new(1, 21));
     node.replace(at(1000), restored_snapshot(2));
-    node.forget_vanished(at(60_000), Some(at(0)));
+    node.expire_vanished(at(60_000), Some(at(0)));
     assert!(!ready_servers(&node).contains(&"i-leaving".to_owned()));
 }
 
@@ -199,9 +199,9 @@
     let mut node = node_before_restore();
     node.replace(at(1000), restored_snapshot(2));
     assert_eq!(ready_servers(&node), ["i-ready"]);
-    assert!(!node.forget_vanished(at(1000 + 3000), Some(at(0))));
+    assert!(!node.expire_vanished(at(1000 + 3000), Some(at(0))));
     assert_eq!(ready_servers(&node), ["i-ready"]);
-    assert!(node.forget_vanished(at(1000 + UNCONFIRMED_MS), Some(at(0))));
+    assert!(node.expire_vanished(at(1000 + UNCONFIRMED_MS), Some(at(0))));
     assert_eq!(
         ready_servers(&node),
         ["i-gone", "i-ready"],
@@ -239,7 +239,7 @@
     node.replace(at(1000), whole);
     let removed = Change::ServerGone(id("i-ready"));
     node.apply(at(1001), Revision::new(2, 17), removed);
-    node.forget_vanished(at(1000 + 3000), Some(at(0)));
+    node.expire_vanished(at(1000 + 3000), Some(at(0)));
     assert_eq!(ready_servers(&node), ["i-gone"]);
 }
 
@@ -257,7 +257,7 @@
         (written, vec!["i-joined", "i-ready"]),
         (node, vec!["i-ready"]),
     ] {
-        node.forget_vanished(at(3600), Some(at(0)));
+        node.expire_vanished(at(3600), Some(at(0)));
         assert_eq!(ready_servers(&node), expected);
     }
 }
--- a/crates/coordination/tests/mesh_routes.rs
+++ b/crates/coordination/tests/mesh_routes.rs
@@ -82,7 +82,7 @@
     let applied = store.apply(at(0), at_revision(10), Change::Configuration(newer));
     assert_eq!(applied, Applied::Configuration);
     let applied = store.apply(at(1), at_revision(11), Change::Configuration(older.clone()));
-    assert_eq!(applied, Applied::Nothing);
+    assert_eq!(applied, Applied::Unchanged);
     let snapshot = Snapshot {
         revision: at_revision(12),
         configuration: Some(older),
@@ -130,7 +130,7 @@
     idle.destinations = vec![destination("feeds", 0)];
     idle.max_attempts = 0;
     let broken = configuration(2, vec![bare, idle]);
-    let Applied::Refused(findings) =
+    let Applied::Rejected(findings) =
         store.apply(at(1), at_revision(2), Change::Configuration(broken))
     else {
         panic!("the configuration was not refused");
@@ -168,7 +168,7 @@
     draining.state = ServerState::Draining;
     apply_entry(&mut store, 1, 8, draining);
     let applied = apply_entry(&mut store, 2, 6, server("i-1", "a", 1));
-    assert_eq!(applied, Applied::Nothing);
+    assert_eq!(applied, Applied::Unchanged);
     assert!(!store.snapshot().servers[&id("i-1")].instance.is_ready());
 }
 
@@ -184,12 +184,12 @@
 #[test]
 fn vanished_server_is_kept_until_it_would_have_returned() {
     let mut store = store_whose_server_vanished();
-    assert!(!store.forget_vanished(at(3_000), Some(at(0))));
+    assert!(!store.expire_vanished(at(3_000), Some(at(0))));
     assert_eq!(store.recently_vanished().len(), 1);
-    assert!(store.forget_vanished(at(3_600), Some(at(0))));
+    assert!(store.expire_vanished(at(3_600), Some(at(0))));
     assert!(store.recently_vanished().is_empty());
     assert!(
-        !store.forget_vanished(at(3_600), Some(at(0))),
+        !store.expire_vanished(at(3_600), Some(at(0))),
         "no vanished server is left"
     );
 }
@@ -198,18 +198,18 @@
 fn vanished_server_is_kept_until_the_source_was_reachable_for_a_while() {
     let mut store = store_whose_server_vanished();
     assert!(
-        !store.forget_vanished(at(60_000), None),
+        !store.expire_vanished(at(60_000), None),
         "the source is unreachable"
     );
-    assert!(!store.forget_vanished(at(62_000), Some(at(60_000))));
-    assert!(store.forget_vanished(at(62_600), Some(at(60_000))));
+    assert!(!store.expire_vanished(at(62_000), Some(at(60_000))));
+    assert!(store.expire_vanished(at(62_600), Some(at(60_000))));
 }
 
 #[test]
 fn server_that_returned_is_no_longer_vanished() {
     let mut store = store_whose_server_vanished();
     apply_entry(&mut store, 2500, 7, server("i-1", "a", 1));
-    assert!(!store.forget_vanished(at(9_000), Some(at(0))));
+    assert!(!store.expire_vanished(at(9_000), Some(at(0))));
     assert_eq!(ids_in_force(&store), ["i-1"]);
 }
 
@@ -229,7 +229,7 @@
 }
 
 fn ids_in_force(store: &SnapshotStore) -> Vec<String> {
-    let servers = store.servers_in_force();
+    let servers = store.active_servers();
     servers.iter().map(|server| server.id.to_string()).collect()
 }
 
@@ -266,7 +266,7 @@
     draining.state = ServerState::Draining;
     apply_entry(&mut store, 1, 6, draining);
     assert_eq!(ids_in_force(&store), ["i-new"]);
-    assert!(!store.servers_in_force()[0].is_ready());
+    assert!(!store.active_servers()[0].is_ready());
 }
 
 #[test]
--- a/crates/coordination/tests/mesh_snapshot_updates.rs
+++ b/crates/coordination/tests/mesh_snapshot_updates.rs
@@ -146,7 +146,10 @@
     store.apply(at(10), at_revision(4), Change::ServerGone(id("i-2")));
     store.advance(at_revision(4));
     let late = Change::Server(server("i-2", "a", 2));
-    assert_eq!(store.apply(at(11), at_revision(2), late), Applied::Nothing);
+    assert_eq!(
+        store.apply(at(11), at_revision(2), late),
+        Applied::Unchanged
+    );
     assert!(!store.snapshot().servers.contains_key(&id("i-2")));
 }
 
--- a/crates/coordination/tests/mesh_source_following.rs
+++ b/crates/coordination/tests/mesh_source_following.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use lifthollow_coordination::mesh::source_following::{
-    Follower, Following, Known, Step, rarely_short_delay,
+    FollowMode, FollowStep, Follower, NodeStatus, rarely_short_delay,
 };
-use lifthollow_coordination::mesh::watchers::{Place, nodes_to_ask, watchers};
+use lifthollow_coordination::mesh::watchers::{NodeLocation, choose_nodes_to_ask, choose_watchers};
 use lifthollow_state::Timestamp;
 use lifthollow_state::mesh::{InstanceId, Revision, ServerInstance, ServerState};
 use rand::SeedableRng;
@@ -23,7 +23,7 @@
     SmallRng::seed_from_u64(seed)
 }
 
-const KNOWS_NOTHING: Known = Known {
+const KNOWS_NOTHING: NodeStatus = NodeStatus {
     revision: Revision::NONE,
     is_watcher: false,
     knows_nodes: false,
@@ -31,7 +31,7 @@
     view_age: None,
 };
 
-const LISTENING: Known = Known {
+const LISTENING: NodeStatus = NodeStatus {
     revision: Revision::new(1, 7),
     is_watcher: false,
     knows_nodes: true,
@@ -43,13 +43,13 @@
 fn next_request(
     follower: &mut Follower,
     mut now: Timestamp,
-    known: Known,
+    status: NodeStatus,
     seed: u64,
-) -> (Timestamp, Step) {
+) -> (Timestamp, FollowStep) {
     let mut random = random(seed);
     loop {
-        match follower.step(now, known, &mut random) {
-            Step::Wait(time) => now = now + time,
+        match follower.step(now, status, &mut random) {
+            FollowStep::Wait(time) => now = now + time,
             step => return (now, step),
         }
     }
@@ -58,10 +58,10 @@
 #[test]
 fn a_node_that_starts_looks_for_others_before_it_reads_anything_else() {
     let mut follower = Follower::new(at(0), &mut random(1));
-    assert_eq!(follower.following(KNOWS_NOTHING), Following::Starting);
+    assert_eq!(follower.following(KNOWS_NOTHING), FollowMode::Starting);
     assert_eq!(
         next_request(&mut follower, at(0), KNOWS_NOTHING, 1),
-        (at(0), Step::FindNodes)
+        (at(0), FollowStep::ReadNodeAddresses)
     );
 }
 
@@ -74,8 +74,10 @@
             let (when, step) = next_request(&mut follower, now, KNOWS_NOTHING, seed);
             now = when;
             match step {
-                Step::FindNodes => follower.nodes_found(now, false, false, &mut random(seed)),
-                Step::ReadAll => break,
+                FollowStep::ReadNodeAddresses => {
+                    follower.on_nodes_found(now, false, false, &mut random(seed))
+                }
+                FollowStep::ReadAll => break,
                 other => panic!("{other:?}"),
             }
         }
@@ -87,14 +89,14 @@
 fn few_of_a_thousand_nodes_that_find_no_other_read_the_source_early() {
     let early = (0..1000).filter(|seed| {
         let mut follower = Follower::new(at(0), &mut random(*seed));
-        follower.nodes_found(at(0), false, false, &mut random(*seed));
+        follower.on_nodes_found(at(0), false, false, &mut random(*seed));
         let mut now = at(0);
         loop {
             let (when, step) = next_request(&mut follower, now, KNOWS_NOTHING, *seed);
             if when > at(1500) {
                 return false;
             }
-            if step == Step::ReadAll {
+            if step == FollowStep::ReadAll {
                 return true;
             }
             now = when + MILLISECOND;
@@ -106,36 +108,36 @@
 
 #[test]
 fn only_a_node_chosen_to_watch_reads_the_source_as_soon_as_no_node_could_help() {
-    let known = Known {
+    let status = NodeStatus {
         knows_nodes: true,
         ..KNOWS_NOTHING
     };
     for is_chosen in [true, false] {
         let mut follower = Follower::new(at(0), &mut random(1));
-        follower.nodes_found(at(10), true, is_chosen, &mut random(1));
-        let (when, step) = next_request(&mut follower, at(10), known, 1);
-        let Step::AskNodes(limit) = step else {
+        follower.on_nodes_found(at(10), true, is_chosen, &mut random(1));
+        let (when, step) = next_request(&mut follower, at(10), status, 1);
+        let FollowStep::AskNodes(limit) = step else {
             panic!("{step:?}");
         };
         assert!(when == at(10) && when + limit <= at(1510), "{limit:?}");
-        follower.nodes_asked(at(15), known, &mut random(1));
-        let (_, step) = next_request(&mut follower, at(15), known, 1);
-        assert_eq!(step == Step::ReadAll, is_chosen, "{step:?}");
+        follower.on_nodes_asked(at(15), status, &mut random(1));
+        let (_, step) = next_request(&mut follower, at(15), status, 1);
+        assert_eq!(step == FollowStep::ReadAll, is_chosen, "{step:?}");
     }
 }
 
 #[test]
 fn a_node_that_starts_goes_on_asking_nodes_while_the_source_fails() {
-    let known = Known {
+    let status = NodeStatus {
         knows_nodes: true,
         ..KNOWS_NOTHING
     };
     let mut follower = Follower::new(at(0), &mut random(1));
-    follower.nodes_found(at(10), true, true, &mut random(1));
-    follower.nodes_asked(at(15), known, &mut random(1));
-    follower.source_failed(at(20), &mut random(1));
-    let (when, step) = next_request(&mut follower, at(20), known, 1);
-    let Step::AskNodes(limit) = step else {
+    follower.on_nodes_found(at(10), true, true, &mut random(1));
+    follower.on_nodes_asked(at(15), status, &mut random(1));
+    follower.on_source_error(at(20), &mut random(1));
+    let (when, step) = next_request(&mut follower, at(20), status, 1);
+    let FollowStep::AskNodes(limit) = step else {
         panic!("{step:?}");
     };
     assert_eq!(
@@ -148,73 +150,73 @@
 #[test]
 fn a_listener_asks_nodes_first_and_the_source_if_they_do_not_help() {
     let mut follower = Follower::new(at(0), &mut random(1));
-    let old = Known {
+    let old = NodeStatus {
         view_age: Some(Duration::from_millis(1400)),
         ..LISTENING
     };
     assert!(matches!(
         follower.step(at(0), LISTENING, &mut random(1)),
-        Step::Wait(_)
+        FollowStep::Wait(_)
     ));
     assert_eq!(
         follower.step(at(0), old, &mut random(1)),
-        Step::AskNodes(Duration::MAX)
+        FollowStep::AskNodes(Duration::MAX)
     );
-    follower.nodes_asked(at(10), old, &mut random(1));
+    follower.on_nodes_asked(at(10), old, &mut random(1));
     assert_eq!(
         follower.step(at(10), old, &mut random(1)),
-        Step::AskForNewest
+        FollowStep::ReadNewestRevision
     );
 }
 
 #[test]
 fn a_listener_that_fell_behind_asks_other_nodes_before_it_reads_the_source() {
-    let old = Known {
+    let old = NodeStatus {
         view_age: Some(Duration::from_millis(1400)),
         ..LISTENING
     };
     let mut follower = Follower::new(at(0), &mut random(1));
-    follower.fell_behind(at(0), old, &mut random(1));
-    assert_eq!(follower.following(old), Following::CatchingUp);
+    follower.on_fell_behind(at(0), old, &mut random(1));
+    assert_eq!(follower.following(old), FollowMode::CatchingUp);
     assert!(matches!(
         follower.step(at(0), old, &mut random(1)),
-        Step::AskNodes(_)
+        FollowStep::AskNodes(_)
     ));
-    let told = Known {
+    let told = NodeStatus {
         revision: Revision::new(1, 8),
         ..LISTENING
     };
     assert!(matches!(
         follower.step(at(20), told, &mut random(1)),
-        Step::Wait(_)
+        FollowStep::Wait(_)
     ));
-    assert_eq!(follower.following(told), Following::Listening);
+    assert_eq!(follower.following(told), FollowMode::Listening);
 }
 
 #[test]
 fn a_listener_that_fell_behind_reads_the_source_in_time_if_no_node_helps() {
-    let old = Known {
+    let old = NodeStatus {
         view_age: Some(Duration::from_millis(1400)),
         ..LISTENING
     };
     for seed in 0..50 {
         let mut follower = Follower::new(at(0), &mut random(seed));
-        follower.fell_behind(at(0), old, &mut random(seed));
+        follower.on_fell_behind(at(0), old, &mut random(seed));
         let mut now = at(0);
         loop {
             let (when, step) = next_request(&mut follower, now, old, seed);
             now = when;
-            if step == Step::ReadAll {
+            if step == FollowStep::ReadAll {
                 break;
             }
-            let Step::AskNodes(limit) = step else {
+            let FollowStep::AskNodes(limit) = step else {
                 panic!("{step:?}");
             };
             assert!(
                 now + limit <= at(200),
                 "the limit must end before the source is to be read"
             );
-            follower.nodes_asked(now, old, &mut random(seed));
+            follower.on_nodes_asked(now, old, &mut random(seed));
         }
         assert!(now <= at(200), "{now:?}");
     }
@@ -222,16 +224,19 @@
 
 #[test]
 fn a_watcher_that_fell_behind_reads_the_source_at_once_although_its_view_was_fresh() {
-    let watching = Known {
+    let watching = NodeStatus {
         is_watcher: true,
         ..LISTENING
     };
     let mut follower = Follower::new(at(0), &mut random(1));
-    assert_eq!(follower.step(at(0), watching, &mut random(1)), Step::Watch);
-    follower.fell_behind(at(0), watching, &mut random(1));
     assert_eq!(
         follower.step(at(0), watching, &mut random(1)),
-        Step::ReadAll
+        FollowStep::Watch
+    );
+    follower.on_fell_behind(at(0), watching, &mut random(1));
+    assert_eq!(
+        follower.step(at(0), watching, &mut random(1)),
+        FollowStep::ReadAll
     );
 }
 
@@ -240,7 +245,7 @@
 /// again.
 #[test]
 fn a_source_that_always_compacts_its_history_is_read_a_few_times_a_second() {
-    let watching = Known {
+    let watching = NodeStatus {
         is_watcher: true,
         ..LISTENING
     };
@@ -250,12 +255,12 @@
         let (when, step) = next_request(&mut follower, now, watching, 1);
         now = when + ANSWER_TIME;
         match step {
-            Step::Watch => follower.fell_behind(now, watching, &mut random(1)),
-            Step::ReadAll => {
+            FollowStep::Watch => follower.on_fell_behind(now, watching, &mut random(1)),
+            FollowStep::ReadAll => {
                 reads += 1;
-                follower.brought_up_to_date(&mut random(1));
+                follower.on_up_to_date(&mut random(1));
             }
-            Step::AskNodes(_) => follower.nodes_asked(now, watching, &mut random(1)),
+            FollowStep::AskNodes(_) => follower.on_nodes_asked(now, watching, &mut random(1)),
             other => panic!("{other:?}"),
         }
     }
@@ -265,24 +270,24 @@
 
 #[test]
 fn a_watcher_that_the_source_refuses_asks_other_nodes() {
-    let refused = Known {
+    let refused = NodeStatus {
         is_watcher: true,
         view_age: Some(Duration::from_millis(1400)),
         ..LISTENING
     };
     let mut follower = Follower::new(at(0), &mut random(1));
-    follower.source_failed(at(0), &mut random(1));
+    follower.on_source_error(at(0), &mut random(1));
     assert_eq!(
         follower.step(at(0), refused, &mut random(1)),
-        Step::AskNodes(Duration::MAX)
+        FollowStep::AskNodes(Duration::MAX)
     );
     let (when, step) = next_request(&mut follower, at(1), refused, 1);
-    assert_eq!((when, step), (at(100), Step::Watch));
+    assert_eq!((when, step), (at(100), FollowStep::Watch));
 }
 
 #[test]
 fn requests_to_a_failing_source_back_off() {
-    let watching = Known {
+    let watching = NodeStatus {
         is_watcher: true,
         ..LISTENING
     };
@@ -291,10 +296,10 @@
     let mut asked = 0;
     while now < at(10_000) {
         let (when, step) = next_request(&mut follower, now, watching, 1);
-        assert_eq!(step, Step::Watch);
+        assert_eq!(step, FollowStep::Watch);
         asked += 1;
         now = when;
-        follower.source_failed(now, &mut random(1));
+        follower.on_source_error(now, &mut random(1));
     }
     assert!((10..17).contains(&asked), "{asked}");
 }
@@ -330,13 +335,13 @@
     let servers: Vec<ServerInstance> = (0..5)
         .flat_map(|zone| (1..40).map(move |index| server(zone, index)))
         .collect();
-    let chosen = watchers(&servers);
+    let chosen = choose_watchers(&servers);
     for own in &servers {
-        let place = Place {
+        let location = NodeLocation {
             zone: &own.zone,
             address: own.address,
         };
-        let asked = nodes_to_ask(&servers, place, &mut random(1));
+        let asked = choose_nodes_to_ask(&servers, location, &mut random(1));
         assert!(!asked.contains(&own.address));
         let near = servers.iter().filter(|server| server.zone == own.zone);
         let near_watcher = near
@@ -352,9 +357,9 @@
 #[test]
 fn a_node_that_knows_only_its_own_server_asks_no_node() {
     let own = server(0, 1);
-    let place = Place {
+    let location = NodeLocation {
         zone: &own.zone,
         address: own.address,
     };
-    assert!(nodes_to_ask(std::slice::from_ref(&own), place, &mut random(1)).is_empty());
+    assert!(choose_nodes_to_ask(std::slice::from_ref(&own), location, &mut random(1)).is_empty());
 }
--- a/crates/coordination/tests/mesh_view.rs
+++ b/crates/coordination/tests/mesh_view.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use lifthollow_coordination::mesh::view_freshness::{
-    ACCEPTED_AGE, NamedAge, Role, ViewFreshness, age_limit,
+    MAX_ACCEPTED_AGE, ReportedAge, Role, ViewFreshness, age_limit,
 };
-use lifthollow_coordination::mesh::watchers::watchers;
+use lifthollow_coordination::mesh::watchers::choose_watchers;
 use lifthollow_state::mesh::ServerInstance;
 use mesh_support::{at, id, ms, server};
 use rand::rngs::SmallRng;
@@ -37,7 +37,7 @@
 fn few_nodes_watch_and_no_more_in_a_larger_fleet() {
     for in_each in [10, 100, 1000] {
         let servers = fleet(5, in_each);
-        let chosen = watchers(&servers);
+        let chosen = choose_watchers(&servers);
         assert_eq!(chosen.len(), 5);
         let zones: BTreeSet<u8> = chosen
             .iter()
@@ -49,11 +49,11 @@
 
 #[test]
 fn small_fleets_have_three_watchers_if_they_can() {
-    assert_eq!(watchers(&[]).len(), 0);
-    assert_eq!(watchers(&fleet(1, 2)).len(), 2);
-    assert_eq!(watchers(&fleet(1, 9)).len(), 3);
-    assert_eq!(watchers(&fleet(2, 9)).len(), 4);
-    assert_eq!(watchers(&fleet(3, 4)).len(), 3);
+    assert_eq!(choose_watchers(&[]).len(), 0);
+    assert_eq!(choose_watchers(&fleet(1, 2)).len(), 2);
+    assert_eq!(choose_watchers(&fleet(1, 9)).len(), 3);
+    assert_eq!(choose_watchers(&fleet(2, 9)).len(), 4);
+    assert_eq!(choose_watchers(&fleet(3, 4)).len(), 3);
 }
 
 #[test]
@@ -61,14 +61,14 @@
     let servers = fleet(4, 20);
     let mut reversed = servers.clone();
     reversed.reverse();
-    let chosen = watchers(&servers);
-    assert_eq!(watchers(&reversed), chosen);
+    let chosen = choose_watchers(&servers);
+    assert_eq!(choose_watchers(&reversed), chosen);
     let without_one: Vec<ServerInstance> = servers
         .iter()
         .filter(|server| server.address != chosen[0])
         .cloned()
         .collect();
-    let others = watchers(&without_one);
+    let others = choose_watchers(&without_one);
     assert_eq!(
         others[1..],
         chosen[1..],
@@ -85,7 +85,7 @@
         server.id = id(&format!("{}-again", server.id));
         server
     }));
-    assert_eq!(watchers(&both), watchers(&servers));
+    assert_eq!(choose_watchers(&both), choose_watchers(&servers));
 }
 
 #[test]
@@ -98,7 +98,7 @@
 fn watchers_check_their_views_before_listeners() {
     let latest = age_limit(Role::BusyWatcher, 1.0);
     assert!(latest < age_limit(Role::Listener, 0.0));
-    assert!(latest < ACCEPTED_AGE);
+    assert!(latest < MAX_ACCEPTED_AGE);
 }
 
 #[test]
@@ -131,26 +131,32 @@
 #[test]
 fn an_age_that_is_reported_again_does_not_make_a_view_younger() {
     let mut view = ViewFreshness::default();
-    let named = NamedAge {
+    let reported = ReportedAge {
         age: ms(200),
-        held: ms(30),
+        hold_time: ms(30),
     };
-    view.confirm(at(1000), at(1000).saturating_sub(named.at_most(ms(40))));
+    view.confirm(
+        at(1000),
+        at(1000).saturating_sub(reported.max_age_on_arrival(ms(40))),
+    );
     assert_eq!(view.age(at(1000)), Some(ms(210)));
-    view.confirm(at(1500), at(1500).saturating_sub(named.at_most(ms(540))));
+    view.confirm(
+        at(1500),
+        at(1500).saturating_sub(reported.max_age_on_arrival(ms(540))),
+    );
     assert_eq!(view.age(at(1500)), Some(ms(710)));
 }
 
 #[test]
 fn the_time_that_a_request_was_held_does_not_count_as_transit_time() {
-    let named = |held| NamedAge {
+    let reported = |hold_time| ReportedAge {
         age: ms(100),
-        held: ms(held),
+        hold_time: ms(hold_time),
     };
-    assert_eq!(named(300).at_most(ms(304)), ms(104));
-    assert_eq!(named(0).at_most(ms(3000)), ms(3100));
+    assert_eq!(reported(300).max_age_on_arrival(ms(304)), ms(104));
+    assert_eq!(reported(0).max_age_on_arrival(ms(3000)), ms(3100));
     assert_eq!(
-        named(400).at_most(ms(304)),
+        reported(400).max_age_on_arrival(ms(304)),
         ms(100),
         "a hold time longer than the whole exchange counts as all of it"
     );
@@ -167,7 +173,7 @@
     arrives: u64,
     answered: u64,
     ends: u64,
-    named: Option<NamedAge>,
+    reported: Option<ReportedAge>,
 }
 
 /// Nodes that report the ages of their views to each other.
@@ -193,15 +199,15 @@
             let to = self.random.random_range(0..self.views.len());
             let mut transit = || 1 + delay * u64::from(self.random.random_ratio(1, delayed_one_in));
             let (there, back) = (transit(), transit());
-            let held = self.random.random_range(0..30);
+            let hold_time = self.random.random_range(0..30);
             self.requests.push(AgeRequest {
                 from,
                 to,
                 asked: now,
                 arrives: now + there,
-                answered: now + there + held,
-                ends: now + there + held + back,
-                named: None,
+                answered: now + there + hold_time,
+                ends: now + there + hold_time + back,
+                reported: None,
             });
         }
         self.deliver_answers(now);
@@ -211,13 +217,13 @@
         for request in &mut self.requests {
             if request.answered == now {
                 let age = self.views[request.to].age(at(now));
-                let held = ms(request.answered - request.arrives);
-                request.named = age.map(|age| NamedAge { age, held });
+                let hold_time = ms(request.answered - request.arrives);
+                request.reported = age.map(|age| ReportedAge { age, hold_time });
             }
             if request.ends == now
-                && let Some(named) = request.named
+                && let Some(reported) = request.reported
             {
-                let age = named.at_most(ms(now - request.asked));
+                let age = reported.max_age_on_arrival(ms(now - request.asked));
                 self.views[request.from].confirm(at(now), at(now).saturating_sub(age));
             }
         }
--- a/crates/proxy/src/node/mod.rs
+++ b/crates/proxy/src/node/mod.rs
@@ -293,7 +293,7 @@
     /// Whether the view is so fresh that the source need not be queried.
     pub fn is_view_fresh(&self) -> bool {
         let age = self.view_age();
-        age.is_some_and(|age| age <= view_freshness::ACCEPTED_AGE)
+        age.is_some_and(|age| age <= view_freshness::MAX_ACCEPTED_AGE)
     }
 
     /// The time since the view was last confirmed; none if it never was.
--- a/crates/proxy/src/node/refresh.rs
+++ b/crates/proxy/src/node/refresh.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use lifthollow_coordination::mesh::route_table::RouteTable;
-use lifthollow_coordination::mesh::watchers::watchers;
+use lifthollow_coordination::mesh::watchers::choose_watchers;
 use lifthollow_state::mesh::{Configuration, ServerInstance};
 
 use super::{Node, TrafficState};
@@ -23,7 +23,7 @@
         if let Some(configuration) = &snapshot.configuration {
             self.refresh_routes(state, configuration);
         }
-        let servers = state.snapshots.servers_in_force();
+        let servers = state.snapshots.active_servers();
         self.refresh_watchers(state, &servers);
         self.refresh_admission(state, &servers);
         state.budgets.set_nodes(servers.len());
@@ -42,7 +42,7 @@
         }
         let own = self.settings.server_address;
         let was_watcher = state.watchers.contains(&own);
-        state.watchers = watchers(servers);
+        state.watchers = choose_watchers(servers);
         let in_zone = |server: &&ServerInstance| server.zone == self.settings.zone;
         let zone: HashSet<SocketAddrV4> = servers
             .iter()
--- a/crates/proxy/src/peer_headers.rs
+++ b/crates/proxy/src/peer_headers.rs
@@ -9,7 +9,7 @@
 use lifthollow_coordination::mesh::admission_queue::Occupancy;
 use lifthollow_coordination::mesh::call::{AttemptEnd, NotRunReason, UnknownReason};
 use lifthollow_coordination::mesh::reported_load::ReportedLoad;
-use lifthollow_coordination::mesh::view_freshness::NamedAge;
+use lifthollow_coordination::mesh::view_freshness::ReportedAge;
 use lifthollow_protocol::AdmissionLevel;
 use lifthollow_state::Priority;
 use lifthollow_state::mesh::{Revision, ServerNotice, SnapshotVersion};
@@ -269,21 +269,21 @@
 }
 
 /// Formats the value of [`VIEW`].
-pub fn view_value(named: NamedAge) -> HeaderValue {
+pub fn view_value(reported: ReportedAge) -> HeaderValue {
     // A view must not appear fresher than it is: its age is rounded up, and the hold time, which
     // the receiver subtracts, is rounded down.
-    let age = named.age.as_micros().div_ceil(MICROS_IN_MILLISECOND);
-    let held = named.held.as_millis();
-    HeaderValue::try_from(format!("{age} {held}")).expect("digits and a blank")
+    let age = reported.age.as_micros().div_ceil(MICROS_IN_MILLISECOND);
+    let hold_time = reported.hold_time.as_millis();
+    HeaderValue::try_from(format!("{age} {hold_time}")).expect("digits and a blank")
 }
 
 /// Parses [`VIEW`]; none if it is missing or malformed.
-pub fn view(headers: &HeaderMap) -> Option<NamedAge> {
+pub fn view(headers: &HeaderMap) -> Option<ReportedAge> {
     let mut words = headers.get(VIEW)?.to_str().ok()?.split(' ');
     let mut next = || Some(Duration::from_millis(words.next()?.parse().ok()?));
-    Some(NamedAge {
+    Some(ReportedAge {
         age: next()?,
-        held: next()?,
+        hold_time: next()?,
     })
 }
 
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -204,7 +204,7 @@
         let now = node.now();
         state.admission.observe(now);
         let available_since = state.view.source_available_since(now);
-        if state.snapshots.forget_vanished(now, available_since) {
+        if state.snapshots.expire_vanished(now, available_since) {
             node.refresh(&mut state);
         }
     }
--- a/crates/proxy/src/snapshots/asking.rs
+++ b/crates/proxy/src/snapshots/asking.rs
@@ -69,7 +69,7 @@
     };
     fetch_update(node, other, OTHER_WATCHER_TIMEOUT).await;
     let age = node.view_age();
-    age.is_some_and(|age| age <= view_freshness::SPARED_AGE)
+    age.is_some_and(|age| age <= view_freshness::MAX_ACCEPTED_AGE_FOR_WATCHER)
 }
 
 /// Selects random nodes that watch the source, those in this node's zone first.
--- a/crates/proxy/src/snapshots/mod.rs
+++ b/crates/proxy/src/snapshots/mod.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use hyper::{HeaderMap, Response};
 use lifthollow_coordination::mesh::snapshot_store::Applied;
-use lifthollow_coordination::mesh::view_freshness::NamedAge;
+use lifthollow_coordination::mesh::view_freshness::ReportedAge;
 use lifthollow_state::Timestamp;
 use lifthollow_state::mesh::{RevisedChange, Revision, Snapshot, SnapshotVersion, Update};
 use slog::{info, warn};
@@ -93,7 +93,7 @@
 fn log_applied(node: &Rc<Node>, from: &str, applied: &[Applied]) {
     let revision = node.revision();
     for result in applied {
-        if let Applied::Refused(findings) = result {
+        if let Applied::Rejected(findings) = result {
             let findings: Vec<String> = findings.iter().map(ToString::to_string).collect();
             warn!(node.log, "configuration refused"; "from" => from, "revision" => %revision, "findings" => findings.join("; "));
         }
@@ -114,8 +114,12 @@
 /// snapshot version.
 pub fn answer(node: &Rc<Node>, headers: &HeaderMap, arrived: Timestamp) -> Response<ProxyBody> {
     let their_version = peer_headers::snapshot_version(headers).unwrap_or_default();
-    let needs_whole = node.state.borrow().snapshots.needs_whole(their_version);
-    let bytes = match needs_whole {
+    let needs_whole_snapshot = node
+        .state
+        .borrow()
+        .snapshots
+        .needs_whole_snapshot(their_version);
+    let bytes = match needs_whole_snapshot {
         true => encoded_snapshot(node),
         false => encoded_update_since(node, their_version),
     };
@@ -159,8 +163,8 @@
 pub fn add_view_headers(node: &Rc<Node>, headers: &mut HeaderMap, arrived: Timestamp) {
     add_snapshot_headers(node, headers);
     if let Some(age) = node.view_age() {
-        let held = node.now().saturating_since(arrived);
-        let value = peer_headers::view_value(NamedAge { age, held });
+        let hold_time = node.now().saturating_since(arrived);
+        let value = peer_headers::view_value(ReportedAge { age, hold_time });
         headers.insert(peer_headers::VIEW, value);
     }
 }
@@ -187,7 +191,7 @@
     }
     if let Some(reported) = peer_headers::view(headers) {
         let now = node.now();
-        let age = reported.at_most(now.saturating_since(sent_at));
+        let age = reported.max_age_on_arrival(now.saturating_since(sent_at));
         node.confirm_view(now.saturating_sub(age));
     }
 }
--- a/crates/proxy/src/source/mod.rs
+++ b/crates/proxy/src/source/mod.rs
@@ -9,8 +9,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use lifthollow_coordination::mesh::source_following::{Follower, Following, Known, Step};
-use lifthollow_coordination::mesh::watchers::{Place, nodes_to_ask, watchers};
+use lifthollow_coordination::mesh::source_following::{
+    FollowMode, FollowStep, Follower, NodeStatus,
+};
+use lifthollow_coordination::mesh::watchers::{NodeLocation, choose_nodes_to_ask, choose_watchers};
 use lifthollow_state::Timestamp;
 use lifthollow_state::mesh::{RevisedChange, Revision, ServerInstance, Snapshot};
 use slog::{info, warn};
@@ -69,7 +71,7 @@
         follower,
         source,
         found_servers: Vec::new(),
-        following: Following::Starting,
+        following: FollowMode::Starting,
         is_source_lost: false,
         node,
     };
@@ -88,32 +90,32 @@
     /// snapshot.
     found_servers: Vec<ServerInstance>,
     /// How the source was last followed, as logged.
-    following: Following,
+    following: FollowMode,
     /// Whether the last query to the source failed.
     is_source_lost: bool,
 }
 
 impl<S: Source> SourceFollower<S> {
     async fn step(&mut self) -> Result<(), SourceError> {
-        let (now, known) = (self.node.now(), self.known());
-        self.log_following(known);
+        let (now, status) = (self.node.now(), self.status());
+        self.log_following(status);
         let step = {
             let random = &mut self.node.state.borrow_mut().random;
-            self.follower.step(now, known, random)
+            self.follower.step(now, status, random)
         };
         match step {
-            Step::Wait(time) => sleep(time).await,
-            Step::AskNodes(limit) => self.query_nodes(limit).await,
-            Step::FindNodes => self.find_nodes().await?,
-            Step::ReadAll => self.read_all().await?,
-            Step::AskForNewest => self.check_newest().await?,
-            Step::Watch => self.watch().await?,
+            FollowStep::Wait(time) => sleep(time).await,
+            FollowStep::AskNodes(limit) => self.query_nodes(limit).await,
+            FollowStep::ReadNodeAddresses => self.find_nodes().await?,
+            FollowStep::ReadAll => self.read_all().await?,
+            FollowStep::ReadNewestRevision => self.check_newest().await?,
+            FollowStep::Watch => self.watch().await?,
         }
         Ok(())
     }
 
-    fn known(&self) -> Known {
-        Known {
+    fn status(&self) -> NodeStatus {
+        NodeStatus {
             revision: self.node.revision(),
             is_watcher: self.node.is_watcher(),
             knows_nodes: !self.found_servers.is_empty() || self.node.knows_watchers(),
@@ -122,15 +124,15 @@
         }
     }
 
-    fn log_following(&mut self, known: Known) {
-        let following = self.follower.following(known);
+    fn log_following(&mut self, status: NodeStatus) {
+        let following = self.follower.following(status);
         if following != self.following {
-            let age_ms = known.view_age.map(|age| age.as_millis() as u64);
+            let age_ms = status.view_age.map(|age| age.as_millis() as u64);
             info!(self.node.log, "follows the source otherwise"; "now" => ?following,
-                "before" => ?self.following, "revision" => %known.revision, "view_age_ms" => age_ms);
+                "before" => ?self.following, "revision" => %status.revision, "view_age_ms" => age_ms);
             self.following = following;
         }
-        if following != Following::Starting {
+        if following != FollowMode::Starting {
             self.found_servers = Vec::new();
         }
     }
@@ -140,37 +142,39 @@
             if self.node.has_snapshot() {
                 asking::query_watchers(&self.node).await;
             } else {
-                asking::fetch_snapshot(&self.node, self.nodes_to_ask()).await;
+                asking::fetch_snapshot(&self.node, self.choose_nodes_to_ask()).await;
             }
         };
         // Changes that were fetched before the timeout have already been applied.
         let _ = timeout(limit, querying).await;
-        let (now, known) = (self.node.now(), self.known());
+        let (now, status) = (self.node.now(), self.status());
         let random = &mut self.node.state.borrow_mut().random;
-        self.follower.nodes_asked(now, known, random);
+        self.follower.on_nodes_asked(now, status, random);
     }
 
-    fn nodes_to_ask(&self) -> Vec<SocketAddrV4> {
+    fn choose_nodes_to_ask(&self) -> Vec<SocketAddrV4> {
         let settings = &self.node.settings;
-        let own = Place {
+        let own = NodeLocation {
             zone: &settings.zone,
             address: settings.server_address,
         };
         let random = &mut self.node.state.borrow_mut().random;
-        nodes_to_ask(&self.found_servers, own, random)
+        choose_nodes_to_ask(&self.found_servers, own, random)
     }
 
     async fn find_nodes(&mut self) -> Result<(), SourceError> {
         let found_servers = self.source.find_servers().await?;
         self.log_source_regained();
         let now = self.node.now();
-        let is_chosen = watchers(&found_servers).contains(&self.node.settings.server_address);
+        let is_chosen =
+            choose_watchers(&found_servers).contains(&self.node.settings.server_address);
         info!(self.node.log, "looked for other nodes"; "found" => found_servers.len(),
             "chosen_to_watch" => is_chosen);
         self.found_servers = found_servers;
         let random = &mut self.node.state.borrow_mut().random;
         let are_any = !self.found_servers.is_empty();
-        self.follower.nodes_found(now, are_any, is_chosen, random);
+        self.follower
+            .on_nodes_found(now, are_any, is_chosen, random);
         Ok(())
     }
 
@@ -246,11 +250,11 @@
 
     /// Handles that the source has a newer revision but did not report the changes up to it.
     fn handle_missing_changes(&mut self, why: &str) {
-        let (now, known) = (self.node.now(), self.known());
-        info!(self.node.log, "fell behind the source"; "why" => why, "revision" => %known.revision);
+        let (now, status) = (self.node.now(), self.status());
+        info!(self.node.log, "fell behind the source"; "why" => why, "revision" => %status.revision);
         self.log_source_regained();
         let random = &mut self.node.state.borrow_mut().random;
-        self.follower.fell_behind(now, known, random);
+        self.follower.on_fell_behind(now, status, random);
     }
 
     /// Handles that the node has `revision`, which was the source's newest at `at`.
@@ -258,7 +262,7 @@
         self.confirm(revision, at);
         self.log_source_regained();
         let random = &mut self.node.state.borrow_mut().random;
-        self.follower.brought_up_to_date(random);
+        self.follower.on_up_to_date(random);
     }
 
     /// Confirms the node's view as of `at`, when `revision` was the source's newest, if the node has
@@ -281,6 +285,6 @@
         }
         let now = self.node.now();
         let random = &mut self.node.state.borrow_mut().random;
-        self.follower.source_failed(now, random);
+        self.follower.on_source_error(now, random);
     }
 }
--- a/crates/proxy/src/source/watching.rs
+++ b/crates/proxy/src/source/watching.rs
@@ -93,7 +93,7 @@
     async fn wait_until_check_due(&self) {
         let random_share = self.node.state.borrow_mut().random.random();
         while self.node.is_watcher() {
-            let role = self.known().role();
+            let role = self.status().role();
             let limit = view_freshness::age_limit(role, random_share);
             let age = self.node.view_age().unwrap_or(Duration::MAX);
             let left = limit.saturating_sub(age);
--- a/crates/proxy/src/suspects/exchange.rs
+++ b/crates/proxy/src/suspects/exchange.rs
@@ -189,7 +189,7 @@
 
 fn random_other_nodes(node: &Rc<Node>) -> Vec<SocketAddrV4> {
     let mut state = node.state.borrow_mut();
-    let servers = state.snapshots.servers_in_force().into_iter();
+    let servers = state.snapshots.active_servers().into_iter();
     let others = servers.filter(|server| !node.is_beside(server));
     let addresses = others.map(|server| node.node_beside(&server));
     addresses.sample(&mut state.random, FAN_OUT)
--- a/crates/proxy/src/suspects/permission.rs
+++ b/crates/proxy/src/suspects/permission.rs
@@ -38,7 +38,7 @@
         RunDecision::Admitted => Permission::Anywhere,
         RunDecision::Blocked(time) => Permission::Blocked(time),
         RunDecision::OnTrial => {
-            let servers = state.snapshots.servers_in_force().into_iter();
+            let servers = state.snapshots.active_servers().into_iter();
             let ready = servers.filter(|server| server.service == service && server.is_ready());
             let ready: Vec<InstanceId> = ready.map(|server| server.id).collect();
             match trial_server(&content.content, &ready) {
