--- a/crates/proxy/src/inbound/server_notice.rs
+++ b/crates/proxy/src/inbound/server_notice.rs
@@ -56,7 +56,7 @@
 
 fn is_leaving(node: &Rc<Node>, headers: &HeaderMap) -> bool {
     let value = headers.get(&node.names.server_leaving);
-    value.is_some_and(|value| value == node.names.leaving_word)
+    value.is_some_and(|value| value == node.names.leaving_value)
 }
 
 /// Parses the request rate limit that the server's answer names; none if it names none or an
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -38,6 +38,6 @@
 pub mod tenants;
 pub mod wire_names;
 
-pub use node::{Node, Surroundings};
+pub use node::{Environment, Node};
 pub use settings::ProxySettings;
 pub use wire_names::WireNames;
--- a/crates/proxy/src/network.rs
+++ b/crates/proxy/src/network.rs
@@ -21,7 +21,7 @@
 pub type Stream = Box<dyn Connection>;
 
 /// Resolves to a connection that is being opened or accepted.
-pub type Opening<'a> = Pin<Box<dyn Future<Output = io::Result<Stream>> + 'a>>;
+pub type ConnectionFuture<'a> = Pin<Box<dyn Future<Output = io::Result<Stream>> + 'a>>;
 
 /// Accepts connections at one address.
 pub trait Listener {
@@ -30,7 +30,7 @@
     /// # Errors
     ///
     /// The system can't accept a connection, for example because no file descriptors are left.
-    fn accept(&self) -> Opening<'_>;
+    fn accept(&self) -> ConnectionFuture<'_>;
 }
 
 /// Opens connections and listens for them.
@@ -43,7 +43,7 @@
     fn listen(&self, address: SocketAddrV4) -> io::Result<Box<dyn Listener>>;
 
     /// Opens a connection to `address`. There is no timeout: the future may never resolve.
-    fn connect(&self, address: SocketAddrV4) -> Opening<'static>;
+    fn connect(&self, address: SocketAddrV4) -> ConnectionFuture<'static>;
 }
 
 /// The network of the operating system, with TCP connections.
@@ -54,7 +54,7 @@
         Ok(Box::new(socket::listen(address)?))
     }
 
-    fn connect(&self, address: SocketAddrV4) -> Opening<'static> {
+    fn connect(&self, address: SocketAddrV4) -> ConnectionFuture<'static> {
         Box::pin(async move {
             let stream = TcpStream::connect(address).await?;
             socket::prepare(&stream);
@@ -64,7 +64,7 @@
 }
 
 impl Listener for TcpListener {
-    fn accept(&self) -> Opening<'_> {
+    fn accept(&self) -> ConnectionFuture<'_> {
         Box::pin(async move {
             let (stream, _) = TcpListener::accept(self).await?;
             socket::prepare(&stream);
--- a/crates/proxy/src/node/mod.rs
+++ b/crates/proxy/src/node/mod.rs
@@ -98,7 +98,7 @@
 }
 
 /// What a process uses of its environment, so that a simulation can replace it.
-pub struct Surroundings {
+pub struct Environment {
     /// Opens and accepts connections.
     pub network: Rc<dyn Network>,
     /// Random number generator for all random choices of the process.
@@ -107,10 +107,10 @@
     pub clock: Clock,
 }
 
-impl Surroundings {
+impl Environment {
     /// The system's network and clock, and a randomly seeded random number generator.
     pub fn of_system() -> Self {
-        Surroundings {
+        Environment {
             network: Rc::new(SystemNetwork),
             random: SmallRng::from_rng(&mut rand::rng()),
             clock: Clock::start(),
@@ -181,13 +181,13 @@
     pub fn new(
         settings: ProxySettings,
         names: WireNames,
-        surroundings: Surroundings,
+        environment: Environment,
         metrics: Rc<Metrics>,
         log: Logger,
     ) -> Rc<Self> {
-        let network = surroundings.network;
-        let clock = surroundings.clock;
-        let random = surroundings.random;
+        let network = environment.network;
+        let clock = environment.clock;
+        let random = environment.random;
         let state = TrafficState {
             snapshots: SnapshotStore::new(settings.entry_lifetime),
             view: ViewFreshness::default(),
--- a/crates/proxy/src/snapshots/mod.rs
+++ b/crates/proxy/src/snapshots/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! Few nodes watch the source. Every message between nodes carries the sender's revision, and every
 //! answer also how long ago that revision was known to be the newest. A node that is behind fetches
-//! the changes that it lacks from a node that is ahead ([`asking`]).
+//! the changes that it lacks from a node that is ahead ([`peer_queries`]).
 
-pub mod asking;
+pub mod peer_queries;
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -75,7 +75,7 @@
 fn handle_applied(node: &Rc<Node>, from: &str, applied: &[Applied]) {
     log_applied(node, from, applied);
     exchange::query_at_start(node);
-    asking::notify_newcomers(node);
+    peer_queries::notify_newcomers(node);
 }
 
 /// Logs a change of the revision's era, which means that the source has lost changes, with the
@@ -177,7 +177,7 @@
         return;
     };
     if node.snapshot_version().lacks(their_version) && !node.is_catching_up.replace(true) {
-        tokio::task::spawn_local(asking::catch_up(node.clone(), their_version, from));
+        tokio::task::spawn_local(peer_queries::catch_up(node.clone(), their_version, from));
     }
 }
 
--- a/crates/proxy/src/source/mod.rs
+++ b/crates/proxy/src/source/mod.rs
@@ -20,7 +20,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::node::Node;
-use crate::snapshots::{self, asking};
+use crate::snapshots::{self, peer_queries};
 
 /// Why a query to the source failed.
 #[derive(Debug, Error)]
@@ -38,7 +38,7 @@
     /// The source's revision after these changes.
     pub revision: Revision,
     /// The number of all reported changes, including those that do not concern nodes.
-    pub told: usize,
+    pub reported_count: usize,
     /// The changes that concern nodes.
     pub changes: Vec<RevisedChange>,
 }
@@ -140,9 +140,9 @@
     async fn query_nodes(&mut self, limit: Duration) {
         let querying = async {
             if self.node.has_snapshot() {
-                asking::query_watchers(&self.node).await;
+                peer_queries::query_watchers(&self.node).await;
             } else {
-                asking::fetch_snapshot(&self.node, self.choose_nodes_to_ask()).await;
+                peer_queries::fetch_snapshot(&self.node, self.choose_nodes_to_ask()).await;
             }
         };
         // Changes that were fetched before the timeout have already been applied.
@@ -186,7 +186,7 @@
         snapshots::replace_snapshot(&self.node, "source", snapshot);
         self.mark_up_to_date(revision, asked);
         if !self.node.is_watcher() {
-            asking::notify_watchers(&self.node);
+            peer_queries::notify_watchers(&self.node);
         }
         Ok(())
     }
@@ -235,7 +235,7 @@
             self.handle_missing_changes("source came back from an older copy");
             return Ok(false);
         }
-        let has_changes = answer.told > 0;
+        let has_changes = answer.reported_count > 0;
         if !has_changes && answer.revision > self.node.revision() {
             // The source reports every change, so some are missing from this answer.
             self.handle_missing_changes(
--- a/crates/proxy/src/source/watching.rs
+++ b/crates/proxy/src/source/watching.rs
@@ -8,7 +8,7 @@
 use rand::RngExt;
 use tokio::time::{sleep, timeout};
 
-use crate::snapshots::asking;
+use crate::snapshots::peer_queries;
 
 use super::{Changes, Source, SourceError, SourceFollower};
 
@@ -43,7 +43,7 @@
         if !self.node.is_watcher() {
             // This node watched because it knew no other node; the nodes that are to watch may not have
             // these changes yet.
-            asking::notify_watchers(&self.node);
+            peer_queries::notify_watchers(&self.node);
         }
         sleep(CHANGE_BATCH_DELAY).await;
         Ok(())
@@ -71,7 +71,7 @@
                 answer = watching.as_mut() => return Ok(Some(answer)),
                 () = self.wait_until_check_due() => {}
             }
-            if asking::query_another_watcher(&self.node).await {
+            if peer_queries::query_another_watcher(&self.node).await {
                 continue;
             }
             if !self.is_newest(after).await? {
--- a/crates/proxy/src/wire_names.rs
+++ b/crates/proxy/src/wire_names.rs
@@ -20,11 +20,11 @@
     /// Header of a server's answers with the rate limit that the server announces: requests a second from
     /// all nodes together.
     pub server_limit: HeaderName,
-    /// Header of a server's answers that has the value [`WireNames::leaving_word`] if the server is
+    /// Header of a server's answers that has the value [`WireNames::leaving_value`] if the server is
     /// leaving.
     pub server_leaving: HeaderName,
     /// Value of [`WireNames::server_leaving`] if the server is leaving.
-    pub leaving_word: &'static str,
+    pub leaving_value: &'static str,
     /// Header that names the service of the calling machine.
     pub caller_service: HeaderName,
     /// Header that tells a server the tenant of the request.
