--- a/crates/coordination/src/claims/claimant.rs
+++ b/crates/coordination/src/claims/claimant.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::decision::{ClaimDecision, ClaimWanted, NO_QUORUM_RETRY_AFTER, RunEnd};
+use super::decision::{ClaimDecision, ClaimParameters, NO_QUORUM_RETRY_AFTER, RunEnd};
 use super::delivery::Deliveries;
 use super::pending::{GrantedClaim, PendingClaim};
 use super::replica::Envelope;
@@ -87,21 +87,21 @@
         &mut self,
         now: Timestamp,
         id: InboundId,
-        wanted: ClaimWanted,
+        parameters: ClaimParameters,
         roster: &Roster,
         effects: &mut Vec<ClaimantEffect>,
     ) {
         let claim = self.next_claim();
         let pending = PendingClaim {
-            wanted,
+            parameters,
             claim,
             own_claims: BTreeSet::from([claim]),
-            replicas: ReplicaSets::of(roster, wanted.key),
+            replicas: ReplicaSets::of(roster, parameters.key),
             roster: version_of(roster),
             tally: Tally::default(),
             sent_at: now,
             resend_at: now + RESEND_INTERVAL,
-            give_up_at: wanted.deadline.min(now + CLAIM_TIMEOUT),
+            give_up_at: parameters.deadline.min(now + CLAIM_TIMEOUT),
             backing_off: false,
             round: 1,
         };
@@ -187,7 +187,7 @@
         let ids: Vec<InboundId> = self.pending.keys().copied().collect();
         for id in ids {
             if let Some(pending) = self.pending.get_mut(&id) {
-                pending.give_up_at = pending.wanted.deadline.min(now + CLAIM_TIMEOUT);
+                pending.give_up_at = pending.parameters.deadline.min(now + CLAIM_TIMEOUT);
             }
             self.next_round(now, id, roster, effects);
         }
@@ -248,9 +248,9 @@
         };
         let start_before = pending.sent_at + self.settings.start_window;
         let granted = GrantedClaim {
-            key: pending.wanted.key,
+            key: pending.parameters.key,
             claim: pending.claim,
-            body_digest: pending.wanted.body_digest,
+            body_digest: pending.parameters.body_digest,
             replicas: pending.replicas,
         };
         self.granted.insert(id, granted);
@@ -304,7 +304,7 @@
         let next = PendingClaim {
             claim,
             own_claims,
-            replicas: ReplicaSets::of(roster, pending.wanted.key),
+            replicas: ReplicaSets::of(roster, pending.parameters.key),
             roster: version_of(roster),
             tally: Tally::default(),
             sent_at: now,
--- a/crates/coordination/src/claims/decision.rs
+++ b/crates/coordination/src/claims/decision.rs
@@ -11,7 +11,7 @@
 
 /// A call that may run only under a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ClaimWanted {
+pub struct ClaimParameters {
     /// The idempotency key of the call.
     pub key: IdempotencyKey,
     /// Digest of the method, path and body of the call.
--- a/crates/coordination/src/claims/gate.rs
+++ b/crates/coordination/src/claims/gate.rs
@@ -7,7 +7,7 @@
 use lifthollow_state::{IdempotencyKey, NodeId, Timestamp};
 
 use super::{
-    ClaimDecision, ClaimEffect, ClaimEvent, ClaimSettings, ClaimWanted, Claims, Envelope,
+    ClaimDecision, ClaimEffect, ClaimEvent, ClaimParameters, ClaimSettings, Claims, Envelope,
     KeyReport, RunEnd,
 };
 use crate::inbound::{Attempt, InboundEffect, InboundEvent, InboundId, RunResult};
@@ -95,7 +95,11 @@
     }
 
     /// Observes an inbound event before the inbound side handles it.
-    pub fn observe(&mut self, now: Timestamp, event: &InboundEvent) -> Vec<GateEffect> {
+    pub fn observe_inbound_event(
+        &mut self,
+        now: Timestamp,
+        event: &InboundEvent,
+    ) -> Vec<GateEffect> {
         match event {
             InboundEvent::AttemptArrived { id, attempt } => self.register_attempt(*id, attempt),
             InboundEvent::RunAnswered { id, result } => self.handle_run_answer(*id, *result),
@@ -113,7 +117,7 @@
 
     /// Passes on an effect of the inbound side, except for the run of an attempt with a
     /// key: this is claimed first.
-    pub fn filter(&mut self, now: Timestamp, effect: InboundEffect) -> Vec<GateEffect> {
+    pub fn filter_effect(&mut self, now: Timestamp, effect: InboundEffect) -> Vec<GateEffect> {
         if let InboundEffect::Run { id, deadline } = effect
             && self.attempts.contains_key(&id)
         {
@@ -154,12 +158,12 @@
             return Vec::new();
         };
         attempt.phase = Phase::Claiming { deadline };
-        let wanted = ClaimWanted {
+        let parameters = ClaimParameters {
             key: attempt.key,
             body_digest: attempt.body_digest,
             deadline,
         };
-        self.apply_event(now, ClaimEvent::Wanted { id, wanted })
+        self.apply_event(now, ClaimEvent::ClaimRequested { id, parameters })
     }
 
     fn handle_run_answer(&mut self, id: InboundId, result: RunResult) {
--- a/crates/coordination/src/claims/mod.rs
+++ b/crates/coordination/src/claims/mod.rs
@@ -26,7 +26,7 @@
 use lifthollow_protocol::{ClaimId, ClaimMessage, ClaimStored, ClaimVote, Roster, Verdict};
 use lifthollow_state::{IdempotencyKey, NodeId, Timestamp};
 
-pub use decision::{ClaimDecision, ClaimWanted, RunEnd};
+pub use decision::{ClaimDecision, ClaimParameters, RunEnd};
 pub use replica::{Envelope, KeyReport};
 pub use settings::ClaimSettings;
 
@@ -38,11 +38,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimEvent {
     /// A call must be claimed before it may run.
-    Wanted {
+    ClaimRequested {
         /// The call to claim.
         id: InboundId,
         /// The key, body digest and deadline of the call.
-        wanted: ClaimWanted,
+        parameters: ClaimParameters,
     },
     /// The caller of a call whose claim is not decided has disconnected or cancelled.
     Abandoned {
@@ -144,10 +144,10 @@
     ) {
         let mut claimant_effects = Vec::new();
         match event {
-            ClaimEvent::Wanted { id, wanted } => {
+            ClaimEvent::ClaimRequested { id, parameters } => {
                 let roster = self.replica.roster();
                 self.claimant
-                    .start_claim(now, id, wanted, roster, &mut claimant_effects);
+                    .start_claim(now, id, parameters, roster, &mut claimant_effects);
             }
             ClaimEvent::Abandoned { id } => self.claimant.abandon(now, id, &mut claimant_effects),
             ClaimEvent::RunEnded { id, end } => {
--- a/crates/coordination/src/claims/pending.rs
+++ b/crates/coordination/src/claims/pending.rs
@@ -7,7 +7,7 @@
 };
 use lifthollow_state::{IdempotencyKey, Timestamp};
 
-use super::decision::{ClaimDecision, ClaimWanted, NO_QUORUM_RETRY_AFTER, RunEnd};
+use super::decision::{ClaimDecision, ClaimParameters, NO_QUORUM_RETRY_AFTER, RunEnd};
 use super::replica::Envelope;
 use super::roster::ReplicaSets;
 use super::tally::Tally;
@@ -15,7 +15,7 @@
 /// An undecided claim, for which votes are collected.
 #[derive(Debug)]
 pub(super) struct PendingClaim {
-    pub(super) wanted: ClaimWanted,
+    pub(super) parameters: ClaimParameters,
     pub(super) claim: ClaimId,
     /// This claim and the earlier claims of the same call, which are all released.
     pub(super) own_claims: BTreeSet<ClaimId>,
@@ -34,9 +34,9 @@
     /// The requests to all replicas that have not granted the claim.
     pub(super) fn requests(&self) -> impl Iterator<Item = Envelope> {
         let message = ClaimMessage::Request(ClaimRequest {
-            key: self.wanted.key,
+            key: self.parameters.key,
             claim: self.claim,
-            body_digest: self.wanted.body_digest,
+            body_digest: self.parameters.body_digest,
             roster: self.roster,
         });
         let replicas = self.replicas.all().into_iter();
@@ -50,7 +50,7 @@
 
     /// The message that releases the claim.
     pub(super) fn release_claim(&self) -> ClaimMessage {
-        release_message(self.wanted.key, self.claim)
+        release_message(self.parameters.key, self.claim)
     }
 
     /// The decision if no majority was reached. If a replica reported another claim, its
--- a/crates/coordination/src/claims/replica/exchange.rs
+++ b/crates/coordination/src/claims/replica/exchange.rs
@@ -45,8 +45,8 @@
             }
             ClaimMessage::HandoverPage(page) => self.handovers.store_page(now, from, page),
             ClaimMessage::HandoverReady(ready) => {
-                let is_informed = self.is_informed(now);
-                let sender = self.handover.as_mut().filter(|_| is_informed);
+                let has_learned_all_claims = self.has_learned_all_claims(now);
+                let sender = self.handover.as_mut().filter(|_| has_learned_all_claims);
                 sender?.handle_ready(now, from, &ready);
                 None
             }
@@ -91,7 +91,10 @@
         if !request.settled {
             return self.handovers.answer_successor(now, from, request);
         }
-        if request.roster != self.roster_version || !self.is_informed(now) || self.is_sealed() {
+        if request.roster != self.roster_version
+            || !self.has_learned_all_claims(now)
+            || self.is_sealed()
+        {
             return None;
         }
         let (claims, next) = take_page(self.shared_claims(from, request.from_key));
--- a/crates/coordination/src/claims/replica/mod.rs
+++ b/crates/coordination/src/claims/replica/mod.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyReport {
     /// Whether this node may vote on the key now.
-    pub votes: bool,
+    pub may_vote: bool,
     /// The record of the key, if there is one.
     pub record: Option<Record>,
     /// The replicas of the key according to this node's roster.
@@ -209,7 +209,7 @@
     pub fn report(&self, now: Timestamp, key: IdempotencyKey) -> KeyReport {
         let replicas = ReplicaSets::of(&self.roster, key);
         KeyReport {
-            votes: self.may_vote(now, &replicas),
+            may_vote: self.may_vote(now, &replicas),
             record: self.store.get(key).cloned(),
             replicas,
             roster_epoch: self.roster.epoch,
@@ -270,7 +270,7 @@
     }
 
     /// Whether this replica knows every claim that its predecessor voted for.
-    pub fn is_informed(&self, now: Timestamp) -> bool {
+    pub fn has_learned_all_claims(&self, now: Timestamp) -> bool {
         let has_learned_all = self.rejoin.as_ref().is_some_and(Rejoin::has_learned_all);
         now >= self.votes_from || has_learned_all
     }
@@ -287,7 +287,7 @@
         return None;
     }
     let members = settings.roster.members.iter().map(|member| member.node);
-    let starts_at = now + settings.settle_time();
+    let starts_at = now + settings.predecessor_vote_expiry();
     let rejoin = Rejoin::new(settings.node, settings.incarnation, members, now, starts_at);
     Some(rejoin)
 }
--- a/crates/coordination/src/claims/settings.rs
+++ b/crates/coordination/src/claims/settings.rs
@@ -68,7 +68,7 @@
     /// other members. After that time, every claim that its predecessor voted for either
     /// has its majority or can no longer reach one, and no handover of an earlier process
     /// is valid.
-    pub fn settle_time(&self) -> Duration {
+    pub fn predecessor_vote_expiry(&self) -> Duration {
         extend_for_drift(self.start_window.max(self.handover_validity))
     }
 }
--- a/crates/coordination/src/fleet/config/mod.rs
+++ b/crates/coordination/src/fleet/config/mod.rs
@@ -19,9 +19,9 @@
 use lifthollow_protocol::control::{FleetBody, TablePage, TableRequest};
 use lifthollow_state::{NodeId, Table, TableVersion, Timestamp};
 
-use super::budget::TokenBucket;
 use super::outbox::Outbox;
 use super::report::{FleetReport, TableSource};
+use super::token_bucket::TokenBucket;
 
 pub(super) use confirmation::Confirmation;
 use history::History;
--- a/crates/coordination/src/fleet/leaving/mod.rs
+++ b/crates/coordination/src/fleet/leaving/mod.rs
@@ -42,7 +42,7 @@
         match (before, listing) {
             (Listing::Leaving, Listing::Leaving) => {}
             (_, Listing::Leaving) => membership.announce_leaving(now, outbox),
-            (Listing::Leaving, Listing::Live) if !self.planned_stop => {
+            (Listing::Leaving, Listing::Listed) if !self.planned_stop => {
                 membership.announce_return(now, outbox);
             }
             _ => {}
--- a/crates/coordination/src/fleet/membership/judgement.rs
+++ b/crates/coordination/src/fleet/membership/failure_handling.rs
@@ -5,8 +5,8 @@
 use lifthollow_state::{NodeId, Timestamp};
 
 use super::Membership;
-use super::news::Forwarding;
 use super::prober::FailedProbe;
+use super::updates::Forwarding;
 use super::zones::ProbeVerdict;
 use crate::fleet::outbox::Outbox;
 use crate::fleet::report::FleetReport;
--- a/crates/coordination/src/fleet/membership/listing.rs
+++ b/crates/coordination/src/fleet/membership/listing.rs
@@ -6,7 +6,7 @@
 use lifthollow_protocol::control::{MemberRecord, MemberStatus};
 use lifthollow_state::{Incarnation, NodeId, Timestamp};
 
-use super::news::Forwarding;
+use super::updates::Forwarding;
 use super::{Listing, Membership};
 use crate::fleet::event::Machine;
 use crate::fleet::outbox::Outbox;
@@ -98,7 +98,7 @@
         let dropped: Vec<NodeId> = self
             .members
             .iter()
-            .filter(|member| matches!(member.listing, Listing::Live | Listing::Leaving))
+            .filter(|member| matches!(member.listing, Listing::Listed | Listing::Leaving))
             .map(|member| member.record.node)
             .filter(|node| !listed.contains_key(node))
             .collect();
@@ -124,7 +124,7 @@
     for machine in machines {
         let (record, listing) = records
             .entry(machine.node)
-            .or_insert_with(|| (empty_record(machine), Listing::Live));
+            .or_insert_with(|| (empty_record(machine), Listing::Listed));
         if !record.services.contains(&machine.service) {
             record.services.push(machine.service.clone());
         }
--- a/crates/coordination/src/fleet/membership/member.rs
+++ b/crates/coordination/src/fleet/membership/member.rs
@@ -11,7 +11,7 @@
     #[default]
     Never,
     /// The latest list contains the member, not as leaving.
-    Live,
+    Listed,
     /// The latest list contains the member as leaving.
     Leaving,
     /// An earlier list contained the member, the latest does not.
--- a/crates/coordination/src/fleet/membership/contact.rs
+++ b/crates/coordination/src/fleet/membership/message_handling.rs
@@ -6,7 +6,7 @@
 use lifthollow_state::{NodeId, Timestamp};
 
 use super::member_table::Merge;
-use super::news::{Forwarding, is_refutable};
+use super::updates::{Forwarding, is_refutable};
 use super::{Membership, synchronization};
 use crate::fleet::outbox::Outbox;
 use crate::fleet::report::FleetReport;
--- a/crates/coordination/src/fleet/membership/mod.rs
+++ b/crates/coordination/src/fleet/membership/mod.rs
@@ -6,22 +6,22 @@
 //!
 //! - [`prober`]: probes members directly and through other nodes;
 //! - [`zones`]: tells an unreachable zone from a failed member;
-//! - [`judgement`]: handles a probe without an answer;
-//! - [`news`], [`update_queue`]: member records piggybacked on probes and answers;
+//! - [`failure_handling`]: handles a probe without an answer;
+//! - [`updates`], [`update_queue`]: member records piggybacked on probes and answers;
 //! - [`synchronization`]: compares all members, to repair what updates missed;
 //! - [`listing`]: the platform's list of machines, as a seed and as second evidence;
 //! - [`removal`]: removes members that are gone.
 
-mod contact;
-mod judgement;
+mod failure_handling;
 mod listing;
 pub(crate) mod member;
 mod member_table;
-mod news;
+mod message_handling;
 mod prober;
 mod removal;
 mod synchronization;
 mod update_queue;
+mod updates;
 mod zones;
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/coordination/src/fleet/membership/removal.rs
+++ b/crates/coordination/src/fleet/membership/removal.rs
@@ -11,7 +11,7 @@
 
 use super::Membership;
 use super::member::{Listing, Member};
-use super::news::Forwarding;
+use super::updates::Forwarding;
 use crate::fleet::outbox::Outbox;
 
 /// Time between two checks for members to remove.
@@ -87,7 +87,7 @@
         let list_is_newer = silent_since.is_some_and(|since| list > since);
         let leaving = member.record.status == MemberStatus::Leaving;
         let timeout = match member.listing {
-            Listing::Live | Listing::Leaving => return false,
+            Listing::Listed | Listing::Leaving => return false,
             Listing::Dropped if !member.is_announced() => Duration::ZERO,
             Listing::Dropped if leaving => LEAVING_DROPPED_TIMEOUT,
             Listing::Dropped => DROPPED_TIMEOUT,
--- a/crates/coordination/src/fleet/membership/synchronization.rs
+++ b/crates/coordination/src/fleet/membership/synchronization.rs
@@ -12,8 +12,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::member_table::{BUCKETS, MemberTable};
-use crate::fleet::budget::TokenBucket;
 use crate::fleet::outbox::Outbox;
+use crate::fleet::token_bucket::TokenBucket;
 
 /// Number of consecutive messages with a different digest before members are
 /// compared: while updates are spreading, digests differ for a while anyway.
--- a/crates/coordination/src/fleet/mod.rs
+++ b/crates/coordination/src/fleet/mod.rs
@@ -9,7 +9,6 @@
 //! Nodes exchange datagrams, any of which may be lost. The platform's service may be
 //! down or lag; it is read, but peers are asked first.
 
-mod budget;
 mod config;
 mod directory;
 mod event;
@@ -18,6 +17,7 @@
 mod outbox;
 mod poll;
 mod report;
+mod token_bucket;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -100,7 +100,7 @@
     /// Starts a node that knows the members and the table that `other` knows, as if it
     /// had synchronized with it. Simulations use this to begin with a fleet whose nodes
     /// already know each other.
-    pub fn new_informed(settings: FleetSettings, other: &Fleet) -> Self {
+    pub fn new_synchronized_with(settings: FleetSettings, other: &Fleet) -> Self {
         let mut fleet = Fleet::new(settings);
         fleet.membership.copy_members_from(&other.membership);
         fleet.configuration = other.configuration.clone();
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -275,7 +275,7 @@
         let gate_effects = self
             .claims
             .as_mut()
-            .map(|claims| claims.observe(now, &event));
+            .map(|claims| claims.observe_inbound_event(now, &event));
         self.request_tree
             .record_inbound_event(&self.fleet.view().directory, &event);
         self.apply_downstream_level(now, &event);
@@ -299,7 +299,7 @@
             match self.claims.as_mut() {
                 None => effects.push(NodeEffect::Inbound(effect)),
                 Some(claims) => {
-                    let gate_effects = claims.filter(now, effect);
+                    let gate_effects = claims.filter_effect(now, effect);
                     self.carry_out_gate_effects(now, Some(gate_effects), effects);
                 }
             }
--- a/crates/coordination/tests/claims_handover.rs
+++ b/crates/coordination/tests/claims_handover.rs
@@ -24,7 +24,7 @@
 }
 
 fn may_vote(fleet: &TestFleet, index: usize) -> bool {
-    fleet.claims[index].report(fleet.now, KEY).votes
+    fleet.claims[index].report(fleet.now, KEY).may_vote
 }
 
 /// A fleet with one call that was answered and one call that still runs.
--- a/crates/coordination/tests/claims_network.rs
+++ b/crates/coordination/tests/claims_network.rs
@@ -114,8 +114,8 @@
     let shortest_retention = settings.retention().mul_f64(1.0 / 1.01);
     let longest_window = settings.start_window.mul_f64(1.0 / 0.99);
     assert!(shortest_retention - longest_window >= settings.lifetime);
-    let shortest_settling = settings.settle_time().mul_f64(1.0 / 1.01);
-    assert!(shortest_settling >= longest_window);
+    let shortest_vote_expiry = settings.predecessor_vote_expiry().mul_f64(1.0 / 1.01);
+    assert!(shortest_vote_expiry >= longest_window);
 }
 
 #[test]
--- a/crates/coordination/tests/claims_replacement.rs
+++ b/crates/coordination/tests/claims_replacement.rs
@@ -73,7 +73,11 @@
     for index in REPLICAS {
         fleet.replace(&[index]);
         fleet.advance(REJOIN_TIME);
-        assert!(fleet.claims[index].replica().is_informed(fleet.now));
+        assert!(
+            fleet.claims[index]
+                .replica()
+                .has_learned_all_claims(fleet.now)
+        );
     }
 
     let (_, repeat) = fleet.call(OTHER_CALLER, BODY);
@@ -100,7 +104,11 @@
     fleet.replace(&[0, 1]);
     fleet.advance(REJOIN_TIME);
     for index in [0, 1] {
-        assert!(fleet.claims[index].replica().is_informed(fleet.now));
+        assert!(
+            fleet.claims[index]
+                .replica()
+                .has_learned_all_claims(fleet.now)
+        );
     }
 }
 
@@ -111,7 +119,7 @@
     fleet.replace(&[0, 1, 2]);
     fleet.advance(REJOIN_TIME);
     for index in [0, 1, 2] {
-        assert!(!fleet.claims[index].report(fleet.now, KEY).votes);
+        assert!(!fleet.claims[index].report(fleet.now, KEY).may_vote);
     }
     let (_, repeat) = fleet.call(OTHER_CALLER, BODY);
     assert!(is_unknown(&repeat));
@@ -126,7 +134,7 @@
     let mut fleet = TestFleet::new();
     fleet.replace(&[0]);
     fleet.advance(settings().start_window);
-    assert!(!fleet.claims[0].report(fleet.now, KEY).votes);
+    assert!(!fleet.claims[0].report(fleet.now, KEY).may_vote);
     fleet.advance(REJOIN_TIME - settings().start_window);
-    assert!(fleet.claims[0].report(fleet.now, KEY).votes);
+    assert!(fleet.claims[0].report(fleet.now, KEY).may_vote);
 }
--- a/crates/coordination/tests/claims_roster.rs
+++ b/crates/coordination/tests/claims_roster.rs
@@ -114,9 +114,9 @@
     deliver_roster(&mut fleet, 5, &change);
     fleet.advance(Duration::from_secs(60));
     deliver_roster(&mut fleet, 5, &end);
-    assert!(!fleet.claims[5].report(fleet.now, KEY).votes);
+    assert!(!fleet.claims[5].report(fleet.now, KEY).may_vote);
     fleet.advance(RETENTION);
-    assert!(fleet.claims[5].report(fleet.now, KEY).votes);
+    assert!(fleet.claims[5].report(fleet.now, KEY).may_vote);
 }
 
 #[test]
@@ -124,9 +124,9 @@
     let mut fleet = TestFleet::new();
     let end = roster(3, &NEW_MEMBERS, &[]);
     deliver_roster(&mut fleet, 1, &end);
-    assert!(!fleet.claims[1].report(fleet.now, KEY).votes);
+    assert!(!fleet.claims[1].report(fleet.now, KEY).may_vote);
     fleet.advance(RETENTION);
-    assert!(fleet.claims[1].report(fleet.now, KEY).votes);
+    assert!(fleet.claims[1].report(fleet.now, KEY).may_vote);
 }
 
 #[test]
--- a/crates/coordination/tests/claims_support/mod.rs
+++ b/crates/coordination/tests/claims_support/mod.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use lifthollow_coordination::claims::{
-    ClaimDecision, ClaimEffect, ClaimEvent, ClaimSettings, ClaimWanted, Claims, Envelope, RunEnd,
+    ClaimDecision, ClaimEffect, ClaimEvent, ClaimParameters, ClaimSettings, Claims, Envelope,
+    RunEnd,
 };
 use lifthollow_coordination::inbound::InboundId;
 use lifthollow_protocol::{
@@ -112,12 +113,12 @@
     pub fn start_call(&mut self, index: usize, key: IdempotencyKey, body_digest: u64) -> InboundId {
         self.next_id += 1;
         let id = InboundId(self.next_id);
-        let wanted = ClaimWanted {
+        let parameters = ClaimParameters {
             key,
             body_digest,
             deadline: self.now + CALL_DEADLINE,
         };
-        self.handle(index, ClaimEvent::Wanted { id, wanted });
+        self.handle(index, ClaimEvent::ClaimRequested { id, parameters });
         id
     }
 
--- a/crates/daemon/src/control/snapshot.rs
+++ b/crates/daemon/src/control/snapshot.rs
@@ -170,7 +170,7 @@
 fn listing_word(listing: Listing) -> &'static str {
     match listing {
         Listing::Never => "never",
-        Listing::Live => "live",
+        Listing::Listed => "live",
         Listing::Leaving => "leaving",
         Listing::Dropped => "dropped",
     }
--- a/crates/daemon/src/operators/claims.rs
+++ b/crates/daemon/src/operators/claims.rs
@@ -14,7 +14,7 @@
         roster_epoch: report.roster_epoch,
         replicas: addresses(&report.replicas.current),
         previous_replicas: addresses(&report.replicas.previous),
-        votes: report.votes,
+        votes: report.may_vote,
         record: report
             .record
             .as_ref()
--- a/crates/sim/src/claims_search/world.rs
+++ b/crates/sim/src/claims_search/world.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lifthollow_coordination::claims::{
-    ClaimDecision, ClaimEffect, ClaimEvent, ClaimWanted, Envelope, RunEnd,
+    ClaimDecision, ClaimEffect, ClaimEvent, ClaimParameters, Envelope, RunEnd,
 };
 use lifthollow_coordination::inbound::InboundId;
 use lifthollow_protocol::{ClaimMessage, RecordedOutcome};
@@ -227,12 +227,12 @@
         if self.variant == Variant::NoClaim {
             return self.start_run(node, id, local_now + CALL_DEADLINE);
         }
-        let wanted = ClaimWanted {
+        let parameters = ClaimParameters {
             key: fleet::key(content.key),
             body_digest: u64::from(content.body),
             deadline: local_now + CALL_DEADLINE,
         };
-        self.handle(node, ClaimEvent::Wanted { id, wanted });
+        self.handle(node, ClaimEvent::ClaimRequested { id, parameters });
     }
 
     fn handle(&mut self, node: u8, event: ClaimEvent) {
--- a/crates/sim/src/scale/nodes.rs
+++ b/crates/sim/src/scale/nodes.rs
@@ -75,7 +75,7 @@
             seed: setup.seed.wrapping_add(u64::from(node.life)),
         };
         node.fleet = Some(match settled.filter(|_| node.life == 1) {
-            Some(settled) => Fleet::new_informed(settings, settled),
+            Some(settled) => Fleet::new_synchronized_with(settings, settled),
             None => Fleet::new(settings),
         });
     }
--- a/crates/sim/src/world/lifecycle.rs
+++ b/crates/sim/src/world/lifecycle.rs
@@ -155,7 +155,7 @@
                 warm_up: RESTART_WARM_UP,
             });
         }
-        self.platform.list(index, now, Listing::Live);
+        self.platform.list(index, now, Listing::Listed);
         self.observe(Observation::ProcessStarted { machine: index });
         self.feed_node(index, NodeEvent::Wake);
     }
--- a/crates/sim/src/world/platform.rs
+++ b/crates/sim/src/world/platform.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listing {
     /// In service.
-    Live,
+    Listed,
     /// To be stopped.
     Leaving,
     /// Not listed.
@@ -69,7 +69,7 @@
             first: Arc::clone(&table),
             newest: table,
             states: Vec::new(),
-            listings: vec![vec![(Timestamp::ZERO, Listing::Live)]; specs.len()],
+            listings: vec![vec![(Timestamp::ZERO, Listing::Listed)]; specs.len()],
             specs: specs.to_vec(),
             zones_per_side: mesh.zones_per_side,
         }
