--- a/crates/coordination/src/claims/rejoin.rs
+++ b/crates/coordination/src/claims/rejoin.rs
@@ -48,7 +48,8 @@
     handover_source: Option<NodeId>,
     /// Whether all handed-over records have been read.
     is_handover_read: bool,
-    /// Whether the votes of the predecessor have expired and the claims of all members are being read.
+    /// Whether the votes of the predecessor have expired and the claims of all members are
+    /// being read.
     is_reading_all: bool,
     progress: BTreeMap<NodeId, Progress>,
 }
