--- a/crates/daemon/src/control/snapshot.rs
+++ b/crates/daemon/src/control/snapshot.rs
@@ -174,7 +174,7 @@
 fn listing_name(listing: Listing) -> &'static str {
     match listing {
         Listing::Never => "never",
-        Listing::Live => "live",
+        Listing::Listed => "live",
         Listing::Leaving => "leaving",
         Listing::Dropped => "dropped",
     }
