--- a/crates/proxy/src/http/pool.rs
+++ b/crates/proxy/src/http/pool.rs
@@ -22,7 +22,7 @@
 use crate::network::Network;
 
 /// How long an idle connection is kept if the peer's answer has no `Keep-Alive` timeout.
-const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(5);
+const DEFAULT_KEEP: Duration = Duration::from_secs(5);
 /// An idle connection is closed this long before the peer would close it.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1500);
 
@@ -182,10 +182,8 @@
         connection: Connection,
         response: &Response<Incoming>,
     ) -> Lease {
-        let advertised = keep_alive_seconds(response.headers()).map(Duration::from_secs);
-        let keep = advertised.map_or(DEFAULT_KEEP_ALIVE, |advertised| {
-            advertised.saturating_sub(KEEP_ALIVE_MARGIN)
-        });
+        let hint = keep_alive_seconds(response.headers()).map(Duration::from_secs);
+        let keep = hint.map_or(DEFAULT_KEEP, |hint| hint.saturating_sub(KEEP_ALIVE_MARGIN));
         Lease {
             pool: self.clone(),
             address,
--- a/crates/proxy/src/http/server.rs
+++ b/crates/proxy/src/http/server.rs
@@ -125,7 +125,7 @@
                     if refused > 0 {
                         handler.accept_resumed(std::mem::take(&mut refused));
                     }
-                    let connection = serve_connection(stream, handler.clone(), in_progress.clone(), closing.clone());
+                    let connection = serve_requests(stream, handler.clone(), in_progress.clone(), closing.clone());
                     tokio::task::spawn_local(connection);
                 }
                 Err(error) => {
@@ -140,7 +140,7 @@
     }
 }
 
-async fn serve_connection<H: Handler>(
+async fn serve_requests<H: Handler>(
     stream: Stream,
     handler: Rc<H>,
     in_progress: InProgress,
