--- a/crates/standin/src/backend/answer.rs
+++ b/crates/standin/src/backend/answer.rs
@@ -1,4 +1,5 @@
-//! Bodies of answers: streamed block by block, holding the run's slot until the end.
+//! Response bodies of a back end. A streamed body is sent block by block and holds the call's
+//! execution slot until it has been sent or dropped.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -15,10 +16,11 @@
 use crate::call::CallName;
 use crate::content::Content;
 
-/// Body of any answer of a back end.
-pub type AnswerBody = Either<Full<Bytes>, StreamedAnswer>;
+/// Body of every HTTP response of a back end: a short text or a streamed body.
+pub type ResponseBody = Either<Full<Bytes>, StreamedBody>;
 
-/// A run in progress: it holds a slot, and tells the ledger how it ended when dropped.
+/// One execution of a call. It holds an execution slot and, when dropped, records in the ledger
+/// whether the execution completed and how long it held the slot.
 pub struct RunGuard {
     name: CallName,
     ledger: Arc<Ledger>,
@@ -28,14 +30,14 @@
 }
 
 impl RunGuard {
-    /// The call `name` starts to run in `slot`.
+    /// Records in `ledger` that the call `name` starts to execute in `slot`.
     pub fn start(
         name: CallName,
         body_digest: u64,
         ledger: Arc<Ledger>,
         slot: OwnedSemaphorePermit,
     ) -> Self {
-        ledger.started(&name, body_digest);
+        ledger.record_start(&name, body_digest);
         RunGuard {
             name,
             ledger,
@@ -45,8 +47,8 @@
         }
     }
 
-    /// The whole answer has been handed over.
-    pub fn complete(&mut self) {
+    /// Marks the execution as completed: its whole response was handed to the HTTP server.
+    pub fn mark_completed(&mut self) {
         self.completed = true;
     }
 }
@@ -54,94 +56,97 @@
 impl Drop for RunGuard {
     fn drop(&mut self) {
         let slot_micros = self.started.elapsed().as_micros() as u64;
-        self.ledger.ended(&self.name, slot_micros, self.completed);
+        self.ledger
+            .record_end(&self.name, slot_micros, self.completed);
     }
 }
 
-/// An answer that is generated while it is sent.
-pub struct StreamedAnswer {
+/// Response body whose blocks are generated while it is sent.
+pub struct StreamedBody {
     content: Content,
-    left: u64,
+    remaining_bytes: u64,
     pace: Duration,
-    pause: Option<Pin<Box<Sleep>>>,
-    cut_at: Option<u64>,
+    block_delay: Option<Pin<Box<Sleep>>>,
+    truncate_at_remaining: Option<u64>,
     run: RunGuard,
 }
 
-/// Pause before an answer is cut off, so that its first half leaves the process.
-const CUT_PAUSE: Duration = Duration::from_millis(5);
+/// Delay between the first half of a truncated response and the error that ends it, so that
+/// the first half leaves the process.
+const TRUNCATION_DELAY: Duration = Duration::from_millis(5);
 
-/// The back end broke the answer off.
+/// Error that ends a response body early because of an injected fault.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer was cut off by the fault switch")]
-pub struct CutOff;
-
-impl StreamedAnswer {
-    /// `content` with a pause of `pace` after each block; `cut` breaks it off half-way.
-    pub fn new(content: Content, pace: Duration, cut: bool, run: RunGuard) -> Self {
-        let left = content.length();
-        StreamedAnswer {
+#[error("response body was truncated by an injected fault")]
+pub struct BodyTruncated;
+
+impl StreamedBody {
+    /// Creates a body that sends `content` and pauses for `pace` after each block. With
+    /// `truncate`, the body fails after half of its bytes.
+    pub fn new(content: Content, pace: Duration, truncate: bool, run: RunGuard) -> Self {
+        let remaining_bytes = content.length();
+        StreamedBody {
             content,
-            left,
+            remaining_bytes,
             pace,
-            pause: None,
-            cut_at: cut.then_some(left / 2),
+            block_delay: None,
+            truncate_at_remaining: truncate.then_some(remaining_bytes / 2),
             run,
         }
     }
 
-    fn next_block(&mut self) -> Option<Result<Frame<Bytes>, CutOff>> {
-        let allowed = self.left - self.cut_at.unwrap_or(0);
-        if allowed == 0 && self.left > 0 {
-            return Some(Err(CutOff));
+    fn next_block(&mut self) -> Option<Result<Frame<Bytes>, BodyTruncated>> {
+        let allowed = self.remaining_bytes - self.truncate_at_remaining.unwrap_or(0);
+        if allowed == 0 && self.remaining_bytes > 0 {
+            return Some(Err(BodyTruncated));
         }
         let mut block = self.content.next()?;
         block.truncate(allowed.min(block.len() as u64) as usize);
-        self.left -= block.len() as u64;
-        let pace = if self.cut_at.is_some() {
-            CUT_PAUSE
+        self.remaining_bytes -= block.len() as u64;
+        let pace = if self.truncate_at_remaining.is_some() {
+            TRUNCATION_DELAY
         } else {
             self.pace
         };
-        if self.left == 0 {
-            self.run.complete();
+        if self.remaining_bytes == 0 {
+            self.run.mark_completed();
         } else if pace > Duration::ZERO {
-            self.pause = Some(Box::pin(tokio::time::sleep(pace)));
+            self.block_delay = Some(Box::pin(tokio::time::sleep(pace)));
         }
         Some(Ok(Frame::data(block)))
     }
 }
 
-impl Body for StreamedAnswer {
+impl Body for StreamedBody {
     type Data = Bytes;
-    type Error = CutOff;
+    type Error = BodyTruncated;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutOff>>> {
-        if let Some(pause) = self.pause.as_mut() {
-            std::task::ready!(pause.as_mut().poll(context));
-            self.pause = None;
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyTruncated>>> {
+        if let Some(block_delay) = self.block_delay.as_mut() {
+            std::task::ready!(block_delay.as_mut().poll(context));
+            self.block_delay = None;
         }
         Poll::Ready(self.next_block())
     }
 
     fn is_end_stream(&self) -> bool {
-        self.left == 0
+        self.remaining_bytes == 0
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.left)
+        SizeHint::with_exact(self.remaining_bytes)
     }
 }
 
-/// A short answer.
-pub fn short(text: &'static str) -> AnswerBody {
+/// Creates a response body from a static text.
+pub fn text_body(text: &'static str) -> ResponseBody {
     Either::Left(Full::new(Bytes::from_static(text.as_bytes())))
 }
 
-/// A short answer of generated text.
-pub fn short_owned(text: String) -> AnswerBody {
+/// Creates a response body from an owned text.
+pub fn owned_text_body(text: String) -> ResponseBody {
     Either::Left(Full::new(Bytes::from(text)))
 }
--- a/crates/standin/src/backend/cold_start.rs
+++ b/crates/standin/src/backend/cold_start.rs
@@ -1,9 +1,10 @@
-//! Slowness of a back end that has just started.
+//! Increased service times of a back end that has just started.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Slower for the first calls and the first time after the start.
+/// Multiplies service times by a constant factor during the first calls and the first period
+/// after the start of a back end.
 pub struct ColdStart {
     factor: f64,
     calls: u64,
@@ -13,7 +14,8 @@
 }
 
 impl ColdStart {
-    /// Cold from now on, until both `calls` calls and `duration` have passed.
+    /// Creates a back end's cold start, which begins now and ends once `calls` calls have been
+    /// served and `duration` has passed.
     pub fn new(factor: f64, calls: u64, duration: Duration) -> Self {
         ColdStart {
             factor,
@@ -24,7 +26,7 @@
         }
     }
 
-    /// Counts a call; returns by how much it is slower.
+    /// Counts a call and returns the factor by which to multiply its service time.
     pub fn next_factor(&self) -> f64 {
         let served = self.served.fetch_add(1, Ordering::Relaxed);
         let cold = served < self.calls || self.started.elapsed() < self.duration;
--- a/crates/standin/src/backend/fault.rs
+++ b/crates/standin/src/backend/fault.rs
@@ -1,20 +1,21 @@
-//! The fault switch of a back end.
+//! Faults that a test can inject into a back end.
 
 use serde::{Deserialize, Serialize};
 
-/// What the test operator makes a back end do.
+/// Faults injected into a back end through `PUT /fault` on its control port.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BackendFault {
-    /// Service times are multiplied by this.
+    /// Factor by which service times are multiplied.
     pub slow_factor: f64,
-    /// Share of runs that answer with an error.
+    /// Probability that an executed call is answered with an error, from 0 to 1.
     pub error_ratio: f64,
-    /// Accepts calls and never answers them.
+    /// Whether the back end accepts calls and never answers them.
     pub hang: bool,
-    /// Answers are cut off in the middle, after the run.
+    /// Probability that a response is truncated in the middle after its call was executed, from 0
+    /// to 1.
     pub cut_ratio: f64,
-    /// Starts no new work and reports itself unhealthy.
+    /// Whether the back end sheds all new calls and reports itself unhealthy.
     pub draining: bool,
 }
 
--- a/crates/standin/src/backend/handler.rs
+++ b/crates/standin/src/backend/handler.rs
@@ -1,4 +1,4 @@
-//! What a back end does with one HTTP request.
+//! Handling of the HTTP requests that a back end receives.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use super::BackendArguments;
-use super::answer::{AnswerBody, RunGuard, StreamedAnswer, short, short_owned};
+use super::answer::{ResponseBody, RunGuard, StreamedBody, owned_text_body, text_body};
 use super::cold_start::ColdStart;
 use super::fault::BackendFault;
 use super::ledger::Ledger;
@@ -22,28 +22,28 @@
 use crate::content::{BodyDigest, Content};
 use crate::headers;
 
-/// Seconds after which a shed caller may come back.
+/// `Retry-After` value of a shed call, in seconds.
 const SHED_RETRY_AFTER_SECONDS: &str = "1";
 
-/// One back end.
+/// State of one back end.
 pub struct Backend {
-    /// The service's name.
+    /// Name of the service that the back end provides.
     pub service: String,
-    /// What really ran.
+    /// Record of the calls that arrived and of those that were executed.
     pub ledger: Arc<Ledger>,
-    /// Slots and queue.
+    /// Execution slots and the queue of calls that wait for one.
     pub slots: Slots,
-    /// What /health and /load say.
+    /// Responses to `/health` and `/load`.
     pub reports: Reports,
     service_times: ServiceTimes,
     cold_start: ColdStart,
-    /// Calls to other services.
+    /// Client for the calls that an executed call makes to other services.
     pub nested: NestedCalls,
     fault: Mutex<BackendFault>,
 }
 
 impl Backend {
-    /// A back end that listens at `address`.
+    /// Creates a back end that listens at `address`.
     pub fn new(arguments: &BackendArguments, address: SocketAddr) -> anyhow::Result<Self> {
         let service_times = ServiceTimes::new(
             arguments.service_ms,
@@ -68,48 +68,48 @@
         })
     }
 
-    /// The fault switch.
+    /// Returns the faults that are injected at present.
     pub fn fault(&self) -> BackendFault {
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets the fault switch.
+    /// Replaces the injected faults by `fault`.
     pub fn set_fault(&self, fault: BackendFault) {
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
 
-    /// Answers one request.
-    pub async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
+    /// Handles one HTTP request to the back end.
+    pub async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         match request.uri().path() {
             "/health" => self.reports.health(&self),
             "/load" => self.reports.load(&self),
-            CALL_PATH => self.call(request).await,
-            _ => respond(StatusCode::NOT_FOUND, "no such path\n"),
+            CALL_PATH => self.handle_call(request).await,
+            _ => text_response(StatusCode::NOT_FOUND, "no such path\n"),
         }
     }
 
-    async fn call(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn handle_call(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let query = request.uri().query().unwrap_or_default();
         let call = match CallSpecification::from_request(query, request.headers()) {
             Ok(call) => call,
-            Err(error) => return bad_call(error.to_string()),
+            Err(error) => return bad_request_response(error.to_string()),
         };
-        self.ledger.arrived(&call);
+        self.ledger.record_arrival(&call);
         let fault = self.fault();
         if fault.hang {
-            self.ledger.hung();
+            self.ledger.record_hung();
             std::future::pending::<()>().await;
         }
         if fault.draining {
-            return self.shed("draining\n");
+            return self.shed_call("draining\n");
         }
-        let deadline = deadline_of(&request);
+        let deadline = parse_deadline(&request);
         let (parts, body) = request.into_parts();
         let Some(body_digest) = digest_body(body).await else {
-            return respond(StatusCode::BAD_REQUEST, "the body broke off\n");
+            return text_response(StatusCode::BAD_REQUEST, "the body broke off\n");
         };
-        let Ok(slot) = self.slots.take(deadline).await else {
-            return self.shed("no free slot\n");
+        let Ok(slot) = self.slots.acquire(deadline).await else {
+            return self.shed_call("no free slot\n");
         };
         let run = RunGuard::start(
             call.name.clone(),
@@ -117,36 +117,37 @@
             Arc::clone(&self.ledger),
             slot,
         );
-        self.run(call, body_digest, &parts.headers, run).await
+        self.execute_call(call, body_digest, &parts.headers, run)
+            .await
     }
 
-    async fn run(
+    async fn execute_call(
         &self,
         call: CallSpecification,
         body_digest: u64,
         headers: &hyper::HeaderMap,
         mut run: RunGuard,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let fault = self.fault();
         let factor = self.cold_start.next_factor() * fault.slow_factor;
         let service_time = self.service_times.sample().mul_f64(factor);
-        let nested_complete = self.nested.make(&call, headers, &self.ledger).await;
-        if nested_complete {
+        let nested_calls_succeeded = self.nested.call_all(&call, headers, &self.ledger).await;
+        if nested_calls_succeeded {
             tokio::time::sleep(service_time).await;
         }
-        if !nested_complete || self.service_times.happens(fault.error_ratio) {
-            run.complete();
-            return respond(StatusCode::INTERNAL_SERVER_ERROR, "failed\n");
+        if !nested_calls_succeeded || self.service_times.sample_bool(fault.error_ratio) {
+            run.mark_completed();
+            return text_response(StatusCode::INTERNAL_SERVER_ERROR, "failed\n");
         }
-        let cut = self.service_times.happens(fault.cut_ratio);
+        let truncate = self.service_times.sample_bool(fault.cut_ratio);
         let content = Content::of_answer(&call, body_digest);
-        let answer = StreamedAnswer::new(content, call.pace, cut, run);
-        Response::new(Either::Right(answer))
+        let body = StreamedBody::new(content, call.pace, truncate, run);
+        Response::new(Either::Right(body))
     }
 
-    fn shed(&self, text: &'static str) -> Response<AnswerBody> {
-        self.ledger.shed();
-        let mut response = respond(StatusCode::SERVICE_UNAVAILABLE, text);
+    fn shed_call(&self, text: &'static str) -> Response<ResponseBody> {
+        self.ledger.record_shed();
+        let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, text);
         let fields = response.headers_mut();
         fields.insert(
             headers::NOT_RUN,
@@ -160,14 +161,16 @@
     }
 }
 
-/// When the caller stops waiting, from its remaining time.
-fn deadline_of(request: &Request<Incoming>) -> Option<Instant> {
+/// Returns the time at which the caller stops waiting, computed from the remaining time in the
+/// deadline header.
+fn parse_deadline(request: &Request<Incoming>) -> Option<Instant> {
     let remaining = request.headers().get(headers::DEADLINE_MS)?;
     let millis: u64 = remaining.to_str().ok()?.parse().ok()?;
     Some(Instant::now() + Duration::from_millis(millis))
 }
 
-/// Reads the whole body in bounded memory; `None` if it breaks off.
+/// Reads a request body to its end in bounded memory and returns its digest, or `None` if the
+/// body ends early.
 async fn digest_body(mut body: Incoming) -> Option<u64> {
     let mut digest = BodyDigest::default();
     while let Some(frame) = body.frame().await {
@@ -178,15 +181,15 @@
     Some(digest.finish())
 }
 
-/// A short answer with a status.
-pub fn respond(status: StatusCode, text: &'static str) -> Response<AnswerBody> {
-    let mut response = Response::new(short(text));
+/// Creates a response with the given status and text.
+pub fn text_response(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
+    let mut response = Response::new(text_body(text));
     *response.status_mut() = status;
     response
 }
 
-fn bad_call(text: String) -> Response<AnswerBody> {
-    let mut response = Response::new(short_owned(text));
+fn bad_request_response(text: String) -> Response<ResponseBody> {
+    let mut response = Response::new(owned_text_body(text));
     *response.status_mut() = StatusCode::BAD_REQUEST;
     response
 }
--- a/crates/standin/src/backend/ledger.rs
+++ b/crates/standin/src/backend/ledger.rs
@@ -1,4 +1,4 @@
-//! The account of what a back end really ran.
+//! Record of the calls that a back end received and executed.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,76 +9,78 @@
 use super::nested::NestedRefusal;
 use crate::call::{CallName, CallSpecification};
 
-/// Calls kept by name; later ones are only counted, and the report says so.
+/// Maximum number of distinct calls recorded by name. Later calls are only counted, in
+/// `Totals::not_recorded`.
 const MAX_CALLS: usize = 400_000;
 
-/// Wall-clock times of runs in milliseconds; one machine, one clock.
+/// Wall-clock times of a call's executions in milliseconds since the Unix epoch. They are
+/// comparable between back ends, because all of them run on one machine with one clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunTimes {
-    /// Start of the first run.
+    /// Start of the call's first execution.
     pub first_start_ms: u64,
-    /// Start of the last run.
+    /// Start of the call's last execution.
     pub last_start_ms: u64,
 }
 
-/// What the back end saw of one call.
+/// What a back end recorded about one call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CallRecord {
-    /// The call.
+    /// Identity of the call.
     pub name: CallName,
-    /// The operation's name if it must run at most once.
+    /// Idempotency key, if the call must be executed at most once.
     pub key: Option<String>,
-    /// How often it arrived, whether it ran or not.
+    /// Number of times the call arrived, whether or not it was executed.
     pub arrivals: u32,
-    /// How often it started to run.
+    /// Number of executions of the call that were started.
     pub runs: u32,
-    /// How often it ran to the end and its whole answer was handed over.
+    /// Number of executions that ended with the whole response handed to the HTTP server.
     pub completed: u32,
-    /// Distinct digests of the bodies with which it ran.
+    /// Distinct digests of the request bodies with which the call was executed.
     pub body_digests: Vec<u64>,
-    /// Calls that its runs made to other services.
+    /// Number of calls that the call's executions made to other services.
     pub nested_calls: u32,
-    /// Time for which its runs held a slot, in microseconds.
+    /// Total time for which the call's executions held a slot, in microseconds.
     pub slot_micros: u64,
-    /// When it ran.
+    /// Start times of the call's executions.
     pub times: RunTimes,
 }
 
-/// Sums over all calls.
+/// Counts over all calls that a back end received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Totals {
-    /// Calls that arrived.
+    /// Number of calls that arrived.
     pub arrivals: u64,
-    /// Runs started.
+    /// Number of executions started.
     pub runs: u64,
-    /// Runs that ended with their whole answer handed over.
+    /// Number of executions that ended with the whole response handed to the HTTP server.
     pub completed: u64,
-    /// Calls shed before they ran.
+    /// Number of calls shed before they were executed.
     pub shed: u64,
-    /// Calls accepted and never answered.
+    /// Number of calls that were accepted and never answered.
     pub hung: u64,
-    /// Slot time of runs in microseconds.
+    /// Total time for which executions held a slot, in microseconds.
     pub slot_micros: u64,
-    /// Calls that no longer fit into the ledger.
+    /// Number of arrivals not recorded by name because the ledger was full.
     pub not_recorded: u64,
-    /// Largest number of connections at once.
+    /// Largest number of connections that were open at the same time.
     pub peak_connections: u64,
 }
 
-/// The whole ledger, as the control port shows it.
+/// Contents of the ledger as returned by `GET /ledger` on the control port.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LedgerReport {
-    /// The service.
+    /// Name of the service that the back end provides.
     pub service: String,
-    /// Sums.
+    /// Counts over all calls.
     pub totals: Totals,
-    /// Every call that arrived.
+    /// One record for each call that arrived.
     pub calls: Vec<CallRecord>,
-    /// Nested calls that this back end was told had not run.
+    /// Nested calls of this back end that were answered as not executed.
     pub nested_refusals: Vec<NestedRefusal>,
 }
 
-/// Records what arrives and runs.
+/// Records the calls that arrive at a back end and their executions.
 #[derive(Debug, Default)]
 pub struct Ledger {
     entries: Mutex<Entries>,
@@ -92,8 +94,8 @@
 }
 
 impl Ledger {
-    /// A call has arrived.
-    pub fn arrived(&self, call: &CallSpecification) {
+    /// Records that `call` arrived.
+    pub fn record_arrival(&self, call: &CallSpecification) {
         let mut entries = self.lock();
         entries.totals.arrivals += 1;
         if entries.calls.len() >= MAX_CALLS && !entries.calls.contains_key(&call.name) {
@@ -107,8 +109,8 @@
         record.arrivals += 1;
     }
 
-    /// A call starts to run.
-    pub fn started(&self, name: &CallName, body_digest: u64) {
+    /// Records that the call `name` starts to execute with a request body of digest `body_digest`.
+    pub fn record_start(&self, name: &CallName, body_digest: u64) {
         let mut entries = self.lock();
         entries.totals.runs += 1;
         if let Some(record) = entries.calls.get_mut(name) {
@@ -116,8 +118,9 @@
         }
     }
 
-    /// A run ended after `slot_micros`; `completed` if its whole answer was handed over.
-    pub fn ended(&self, name: &CallName, slot_micros: u64, completed: bool) {
+    /// Records the end of an execution that held a slot for `slot_micros` microseconds.
+    /// `completed` tells whether its whole response was handed to the HTTP server.
+    pub fn record_end(&self, name: &CallName, slot_micros: u64, completed: bool) {
         let mut entries = self.lock();
         entries.totals.slot_micros += slot_micros;
         entries.totals.completed += u64::from(completed);
@@ -127,40 +130,40 @@
         }
     }
 
-    /// A run makes a call to another service.
-    pub fn nested_call(&self, name: &CallName) {
+    /// Records that an execution of the call `name` makes a call to another service.
+    pub fn record_nested_call(&self, name: &CallName) {
         if let Some(record) = self.lock().calls.get_mut(name) {
             record.nested_calls += 1;
         }
     }
 
-    /// A nested call was answered as not run.
-    pub fn nested_refused(&self, refusal: NestedRefusal) {
+    /// Records a nested call that was answered as not executed.
+    pub fn record_nested_refusal(&self, refusal: NestedRefusal) {
         self.lock().nested_refusals.push(refusal);
     }
 
-    /// A call was shed before it ran.
-    pub fn shed(&self) {
+    /// Counts a call that was shed before it was executed.
+    pub fn record_shed(&self) {
         self.lock().totals.shed += 1;
     }
 
-    /// A call was accepted and will never be answered.
-    pub fn hung(&self) {
+    /// Counts a call that was accepted and will never be answered.
+    pub fn record_hung(&self) {
         self.lock().totals.hung += 1;
     }
 
-    /// So many connections are open now.
-    pub fn connections(&self, open: u64) {
+    /// Updates the peak number of connections, given that `open` are open now.
+    pub fn record_open_connections(&self, open: u64) {
         let mut entries = self.lock();
         entries.totals.peak_connections = entries.totals.peak_connections.max(open);
     }
 
-    /// Sums so far.
+    /// Returns the counts so far.
     pub fn totals(&self) -> Totals {
         self.lock().totals
     }
 
-    /// Everything recorded so far.
+    /// Returns everything recorded so far, for the back end of `service`.
     pub fn report(&self, service: &str) -> LedgerReport {
         let entries = self.lock();
         LedgerReport {
@@ -203,7 +206,7 @@
     }
 }
 
-/// Milliseconds since the epoch.
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
 pub fn unix_millis() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     elapsed.map_or(0, |elapsed| elapsed.as_millis() as u64)
--- a/crates/standin/src/backend/listener.rs
+++ b/crates/standin/src/backend/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections up to a limit, each at a cost.
+//! Accepts connections up to a limit and delays each by a setup cost.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -13,17 +13,17 @@
 
 use super::handler::Backend;
 
-/// Limits on connections.
+/// Connection limit and connection setup cost of a back end.
 #[derive(Clone, Copy)]
 pub struct ConnectionLimits {
-    /// Connections served at once; further ones wait in the accept queue.
+    /// Maximum number of connections served at once; further ones wait in the accept queue.
     pub max_connections: usize,
-    /// Time that a new connection takes before its first request is read.
+    /// Delay between accepting a connection and reading its first request.
     pub connection_cost: Duration,
 }
 
-/// Accepts connections for ever.
-pub async fn accept_all(
+/// Accepts connections to `backend` until accepting fails.
+pub async fn accept_connections(
     listener: TcpListener,
     limits: ConnectionLimits,
     backend: Arc<Backend>,
@@ -37,17 +37,17 @@
         let open = Arc::clone(&open);
         tokio::spawn(async move {
             let now_open = open.fetch_add(1, Ordering::Relaxed) + 1;
-            backend.ledger.connections(now_open);
+            backend.ledger.record_open_connections(now_open);
             tokio::time::sleep(limits.connection_cost).await;
-            serve(stream, backend).await;
+            serve_connection(stream, backend).await;
             open.fetch_sub(1, Ordering::Relaxed);
             drop(permit);
         });
     }
 }
 
-/// Serves one connection; a caller that closes it cancels its call.
-async fn serve(stream: TcpStream, backend: Arc<Backend>) {
+/// Serves one connection. If the caller closes it, the call in progress is cancelled.
+async fn serve_connection(stream: TcpStream, backend: Arc<Backend>) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let backend = Arc::clone(&backend);
--- a/crates/standin/src/backend/mod.rs
+++ b/crates/standin/src/backend/mod.rs
@@ -1,5 +1,6 @@
-//! A back end of one service: slots, a queue, service times, cold start, drain, deadlines,
-//! cancellation, calls to other services, and faults set at a control port.
+//! Simulated back end of one service, with execution slots, a queue, service times, cold start,
+//! draining, deadlines, cancellation, calls to other services, and faults injected through a
+//! control port.
 
 mod answer;
 mod cold_start;
@@ -22,7 +23,7 @@
 pub use fault::BackendFault;
 pub use ledger::{CallRecord, Ledger, LedgerReport, RunTimes, Totals, unix_millis};
 pub use nested::NestedRefusal;
-pub use reports::{LoadAnswer, ReportMode};
+pub use reports::{LoadReport, ReportMode};
 pub use slots::{ShedReason, Slots};
 
 use crate::json_lines::{self, ReadyLine};
@@ -90,7 +91,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Serves until the process is stopped.
+/// Runs a back end until the process is stopped.
 pub fn run(arguments: BackendArguments) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(WORKER_THREADS)
@@ -110,10 +111,10 @@
         addresses: vec![address],
         control,
     })?;
-    reports::keep_history(Arc::clone(&backend));
+    reports::spawn_sampler(Arc::clone(&backend));
     let limits = listener::ConnectionLimits {
         max_connections: arguments.max_connections,
         connection_cost: Duration::from_millis(arguments.connection_cost_ms),
     };
-    listener::accept_all(listener, limits, backend).await
+    listener::accept_connections(listener, limits, backend).await
 }
--- a/crates/standin/src/backend/nested.rs
+++ b/crates/standin/src/backend/nested.rs
@@ -1,4 +1,4 @@
-//! Calls that a run makes to other services, through the node beside its back end.
+//! Calls that an executed call makes to other services, through the node beside its back end.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,15 +17,15 @@
 use crate::call::{CallName, CallSpecification};
 use crate::headers;
 
-/// Length of the answers to nested calls.
+/// Length in bytes of the response that a nested call asks for.
 const NESTED_ANSWER_BYTES: u64 = 256;
 
-/// A nested call that its caller was told had not run.
+/// A nested call that was answered to its caller as not executed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NestedRefusal {
-    /// The service called.
+    /// Name of the called service.
     pub service: String,
-    /// The call.
+    /// Identity of the nested call.
     pub name: CallName,
 }
 
@@ -39,7 +39,8 @@
 }
 
 impl NestedCalls {
-    /// Calls to `services` through `node`; `identity` is unique among back ends.
+    /// Creates a client that calls `services` through `node`. `identity` is unique among back ends
+    /// and becomes part of the names of the nested calls.
     pub fn new(services: Vec<String>, node: Option<SocketAddr>, identity: String) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Sets the node through which calls go.
+    /// Sets the address of the node through which nested calls are made.
     pub fn set_node(&self, node: SocketAddr) {
         *self.lock_node() = Some(node);
     }
@@ -61,8 +62,9 @@
         self.node.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Makes all nested calls of one run, in order; false at the first that fails.
-    pub async fn make(
+    /// Makes all nested calls of one execution in order. Stops and returns false at the first that
+    /// fails.
+    pub async fn call_all(
         &self,
         parent: &CallSpecification,
         parent_headers: &HeaderMap,
@@ -70,16 +72,19 @@
     ) -> bool {
         let run = self.runs.fetch_add(1, Ordering::Relaxed);
         for service in &self.services {
-            let call = self.specification(parent, service, run);
-            ledger.nested_call(&parent.name);
-            if !self.call(service, call, parent_headers, ledger).await {
+            let call = self.nested_specification(parent, service, run);
+            ledger.record_nested_call(&parent.name);
+            if !self
+                .call_service(service, call, parent_headers, ledger)
+                .await
+            {
                 return false;
             }
         }
         true
     }
 
-    fn specification(
+    fn nested_specification(
         &self,
         parent: &CallSpecification,
         service: &str,
@@ -99,21 +104,21 @@
         }
     }
 
-    async fn call(
+    async fn call_service(
         &self,
         service: &str,
         call: CallSpecification,
         parent_headers: &HeaderMap,
         ledger: &Ledger,
     ) -> bool {
-        let Some(request) = self.request(service, &call, parent_headers) else {
+        let Some(request) = self.build_request(service, &call, parent_headers) else {
             return false;
         };
         let Ok(response) = self.client.request(request).await else {
             return false;
         };
-        if is_not_run(&response) {
-            ledger.nested_refused(NestedRefusal {
+        if is_marked_not_run(&response) {
+            ledger.record_nested_refusal(NestedRefusal {
                 service: service.to_owned(),
                 name: call.name,
             });
@@ -122,7 +127,7 @@
         response.into_body().collect().await.is_ok() && success
     }
 
-    fn request(
+    fn build_request(
         &self,
         service: &str,
         call: &CallSpecification,
@@ -144,7 +149,7 @@
     }
 }
 
-fn is_not_run(response: &Response<Incoming>) -> bool {
+fn is_marked_not_run(response: &Response<Incoming>) -> bool {
     let outcome = response.headers().get(headers::OUTCOME);
     outcome.is_some_and(|outcome| outcome.as_bytes() == b"not-run")
 }
--- a/crates/standin/src/backend/reports.rs
+++ b/crates/standin/src/backend/reports.rs
@@ -1,4 +1,4 @@
-//! `/health` and `/load`, which may lag or mislead.
+//! Responses to `/health` and `/load`, which can be outdated or false on purpose.
 
 use std::collections::VecDeque;
 use std::str::FromStr;
@@ -8,21 +8,21 @@
 use hyper::{Response, StatusCode};
 use serde::{Deserialize, Serialize};
 
-use super::answer::{AnswerBody, short_owned};
-use super::handler::{Backend, respond};
+use super::answer::{ResponseBody, owned_text_body};
+use super::handler::{Backend, text_response};
 
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How honest the reports are.
+/// Whether a back end reports its true, a constant or an outdated health and load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportMode {
-    /// What is so now.
+    /// Reports the present state.
     Truthful,
-    /// Always healthy and idle.
+    /// Always reports a healthy and idle back end.
     AlwaysGreen,
-    /// Always unhealthy and full.
+    /// Always reports an unhealthy and fully loaded back end.
     AlwaysRed,
-    /// What was so a while ago.
+    /// Reports the state as it was a configured time ago.
     Old,
 }
 
@@ -35,19 +35,19 @@
             "green" => Ok(ReportMode::AlwaysGreen),
             "red" => Ok(ReportMode::AlwaysRed),
             "old" => Ok(ReportMode::Old),
-            _ => Err("reports are `true`, `green`, `red` or `old`".to_owned()),
+            _ => Err("report mode must be `true`, `green`, `red` or `old`".to_owned()),
         }
     }
 }
 
-/// What `/load` answers.
+/// JSON body of the response to `/load`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadAnswer {
-    /// Calls that run.
+pub struct LoadReport {
+    /// Number of calls being executed.
     pub in_flight: usize,
-    /// Calls that wait.
+    /// Number of calls waiting for a slot.
     pub queued: usize,
-    /// Calls that can run at once.
+    /// Maximum number of calls executed at once.
     pub slots: usize,
 }
 
@@ -55,10 +55,10 @@
 struct Sample {
     taken: Instant,
     healthy: bool,
-    load: LoadAnswer,
+    load: LoadReport,
 }
 
-/// Answers the two endpoints.
+/// Produces the responses to `/health` and `/load`.
 pub struct Reports {
     mode: ReportMode,
     age: Duration,
@@ -66,7 +66,8 @@
 }
 
 impl Reports {
-    /// Reports of the given honesty; `age_ms` counts for old ones.
+    /// Creates reports of the given mode. `age_ms` is the age of the reported state in
+    /// milliseconds and applies to [`ReportMode::Old`] only.
     pub fn new(mode: ReportMode, age_ms: u64) -> Self {
         Reports {
             mode,
@@ -75,33 +76,33 @@
         }
     }
 
-    /// Answer to `/health`.
-    pub fn health(&self, backend: &Backend) -> Response<AnswerBody> {
-        if self.shown(backend).healthy {
-            respond(StatusCode::OK, "ok\n")
+    /// Returns the response to `/health`.
+    pub fn health(&self, backend: &Backend) -> Response<ResponseBody> {
+        if self.reported_sample(backend).healthy {
+            text_response(StatusCode::OK, "ok\n")
         } else {
-            respond(StatusCode::SERVICE_UNAVAILABLE, "unhealthy\n")
+            text_response(StatusCode::SERVICE_UNAVAILABLE, "unhealthy\n")
         }
     }
 
-    /// Answer to `/load`.
-    pub fn load(&self, backend: &Backend) -> Response<AnswerBody> {
-        let load = self.shown(backend).load;
+    /// Returns the response to `/load`.
+    pub fn load(&self, backend: &Backend) -> Response<ResponseBody> {
+        let load = self.reported_sample(backend).load;
         let text = serde_json::to_string(&load).unwrap_or_default();
-        Response::new(short_owned(text))
+        Response::new(owned_text_body(text))
     }
 
-    fn shown(&self, backend: &Backend) -> Sample {
-        let truth = truth(backend);
+    fn reported_sample(&self, backend: &Backend) -> Sample {
+        let current = current_sample(backend);
         match self.mode {
-            ReportMode::Truthful => truth,
-            ReportMode::AlwaysGreen => truth.pretending(true),
-            ReportMode::AlwaysRed => truth.pretending(false),
-            ReportMode::Old => self.lock().front().copied().unwrap_or(truth),
+            ReportMode::Truthful => current,
+            ReportMode::AlwaysGreen => current.with_forced_health(true),
+            ReportMode::AlwaysRed => current.with_forced_health(false),
+            ReportMode::Old => self.lock().front().copied().unwrap_or(current),
         }
     }
 
-    /// Takes a sample and forgets all but the newest that is old enough.
+    /// Adds a sample, and drops all samples older than the newest one that is at least `age` old.
     fn record(&self, sample: Sample) {
         let mut samples = self.lock();
         samples.push_back(sample);
@@ -119,21 +120,21 @@
 }
 
 impl Sample {
-    fn pretending(mut self, healthy: bool) -> Self {
+    fn with_forced_health(mut self, healthy: bool) -> Self {
         self.healthy = healthy;
-        let busy = if healthy { 0 } else { self.load.slots };
-        self.load.in_flight = busy;
-        self.load.queued = busy;
+        let calls = if healthy { 0 } else { self.load.slots };
+        self.load.in_flight = calls;
+        self.load.queued = calls;
         self
     }
 }
 
-fn truth(backend: &Backend) -> Sample {
+fn current_sample(backend: &Backend) -> Sample {
     let fault = backend.fault();
     Sample {
         taken: Instant::now(),
         healthy: !fault.draining && !fault.hang,
-        load: LoadAnswer {
+        load: LoadReport {
             in_flight: backend.slots.running(),
             queued: backend.slots.waiting(),
             slots: backend.slots.count(),
@@ -141,11 +142,11 @@
     }
 }
 
-/// Samples the truth for as long as the process runs.
-pub fn keep_history(backend: Arc<Backend>) {
+/// Starts a task that records the true state of `backend` until the process ends.
+pub fn spawn_sampler(backend: Arc<Backend>) {
     tokio::spawn(async move {
         loop {
-            backend.reports.record(truth(&backend));
+            backend.reports.record(current_sample(&backend));
             tokio::time::sleep(SAMPLE_INTERVAL).await;
         }
     });
--- a/crates/standin/src/backend/slots.rs
+++ b/crates/standin/src/backend/slots.rs
@@ -1,4 +1,4 @@
-//! Slots in which calls run, and the short queue before them.
+//! Execution slots of a back end and the bounded queue of calls that wait for one.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -9,13 +9,13 @@
 /// Why the back end shed a call before running it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShedReason {
-    /// All slots are taken and the queue is full.
+    /// All execution slots are in use and the queue is full.
     QueueFull,
-    /// The deadline passed while the call waited.
+    /// The call's deadline passed while it waited for a slot.
     DeadlinePassed,
 }
 
-/// A fixed number of slots.
+/// A fixed number of execution slots with a bounded queue.
 pub struct Slots {
     permits: Arc<Semaphore>,
     count: usize,
@@ -23,17 +23,17 @@
     waiting: AtomicUsize,
 }
 
-/// Counts a waiting call for as long as it lives.
-struct Waiting<'a>(&'a AtomicUsize);
+/// Guard that counts a call as waiting until it is dropped.
+struct WaitingGuard<'a>(&'a AtomicUsize);
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Slots {
-    /// `count` slots before which `max_waiting` calls may wait.
+    /// Creates `count` execution slots, for which at most `max_waiting` calls may wait.
     pub fn new(count: usize, max_waiting: usize) -> Self {
         Slots {
             permits: Arc::new(Semaphore::new(count)),
@@ -43,18 +43,18 @@
         }
     }
 
-    /// Waits for a slot until `deadline`. The slot is free again when the
-    /// returned permit is dropped.
-    pub async fn take(
+    /// Waits for a free slot until `deadline`. The slot is released when the returned permit is
+    /// dropped.
+    pub async fn acquire(
         &self,
         deadline: Option<Instant>,
     ) -> Result<OwnedSemaphorePermit, ShedReason> {
         if let Ok(permit) = Arc::clone(&self.permits).try_acquire_owned() {
             return Ok(permit);
         }
-        let before = self.waiting.fetch_add(1, Ordering::Relaxed);
-        let _waiting = Waiting(&self.waiting);
-        if before >= self.max_waiting {
+        let already_waiting = self.waiting.fetch_add(1, Ordering::Relaxed);
+        let _waiting_guard = WaitingGuard(&self.waiting);
+        if already_waiting >= self.max_waiting {
             return Err(ShedReason::QueueFull);
         }
         let acquire = Arc::clone(&self.permits).acquire_owned();
@@ -67,17 +67,17 @@
         acquired.map_err(|_| ShedReason::QueueFull)
     }
 
-    /// Number of slots.
+    /// Returns the total number of execution slots.
     pub fn count(&self) -> usize {
         self.count
     }
 
-    /// Calls that run now.
+    /// Returns the number of calls being executed.
     pub fn running(&self) -> usize {
         self.count - self.permits.available_permits().min(self.count)
     }
 
-    /// Calls that wait now.
+    /// Returns the number of calls waiting for a slot.
     pub fn waiting(&self) -> usize {
         self.waiting.load(Ordering::Relaxed)
     }
--- a/crates/standin/tests/standin/backend.rs
+++ b/crates/standin/tests/standin/backend.rs
@@ -1,4 +1,4 @@
-//! The stand-in of a back end.
+//! Tests of the simulated back end.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -21,8 +21,8 @@
     }
 }
 
-/// A call of the back end, without a body.
-fn post(backend: &Standin, request: &str, attempt: u32) -> attohttpc::RequestBuilder {
+/// Builds a request for a call of the back end, without a body.
+fn call_request(backend: &Standin, request: &str, attempt: u32) -> attohttpc::RequestBuilder {
     let call = specification(request, attempt);
     let url = format!("http://{}{}", backend.address(), call.to_path());
     let builder = attohttpc::post(url);
@@ -34,20 +34,23 @@
 }
 
 fn call(backend: &Standin, request: &str) -> attohttpc::Response {
-    let builder = post(backend, request, 1);
+    let builder = call_request(backend, request, 1);
     builder.text("body").send().expect("an answer")
 }
 
-/// Sends a call without waiting for its answer.
-fn send_head(stream: &mut TcpStream, request: &str) {
+/// Sends a call without waiting for its response.
+fn send_call_head(stream: &mut TcpStream, request: &str) {
     let path = specification(request, 1).to_path();
     let names = "standin-attempt: 1\r\nstandin-caller:\r\n";
     let head = format!("POST {path} HTTP/1.1\r\nhost: x\r\n{names}content-length: 0\r\n\r\n");
     stream.write_all(head.as_bytes()).expect("sends");
 }
 
-/// Waits until the back end's totals are as wanted.
-fn wait_for(backend: &Standin, wanted: impl Fn(&lifthollow_standin::backend::Totals) -> bool) {
+/// Waits until the totals in the back end's ledger satisfy `wanted`.
+fn wait_for_totals(
+    backend: &Standin,
+    wanted: impl Fn(&lifthollow_standin::backend::Totals) -> bool,
+) {
     let end = std::time::Instant::now() + PATIENCE;
     while !wanted(&backend.ledger().totals) {
         assert!(
@@ -60,7 +63,7 @@
 }
 
 #[test]
-fn the_ledger_holds_what_ran() {
+fn ledger_counts_each_execution_of_a_repeated_call() {
     let backend = Standin::start(&["backend", "--service", "topup", "--service-ms", "1"]);
     assert_eq!(call(&backend, "a").bytes().expect("answer").len(), 100);
     call(&backend, "a").bytes().expect("answer");
@@ -73,30 +76,30 @@
 }
 
 #[test]
-fn a_full_back_end_sheds_and_a_closed_connection_frees_its_slot() {
+fn full_back_end_sheds_calls_and_closed_connection_releases_its_slot() {
     let arguments = ["backend", "--service", "s", "--slots", "1", "--queue", "0"];
     let backend = Standin::start(&[&arguments[..], &["--service-ms", "3600000"]].concat());
     let mut first = TcpStream::connect(backend.address()).expect("connects");
-    send_head(&mut first, "a");
-    wait_for(&backend, |totals| totals.runs == 1);
+    send_call_head(&mut first, "a");
+    wait_for_totals(&backend, |totals| totals.runs == 1);
     let shed = call(&backend, "b");
     assert_eq!(shed.status().as_u16(), 503);
     assert_eq!(shed.headers()["lifthollow-not-run"], "yes");
     assert!(shed.headers().contains_key("retry-after"));
     drop(first);
-    wait_for(&backend, |totals| totals.slot_micros > 0);
+    wait_for_totals(&backend, |totals| totals.slot_micros > 0);
     let totals = backend.ledger().totals;
     assert_eq!((totals.runs, totals.completed, totals.shed), (1, 0, 1));
 }
 
 #[test]
-fn a_waiting_call_is_shed_at_its_deadline() {
+fn queued_call_is_shed_when_its_deadline_passes() {
     let arguments = ["backend", "--service", "s", "--slots", "1"];
     let backend = Standin::start(&[&arguments[..], &["--service-ms", "3600000"]].concat());
     let mut first = TcpStream::connect(backend.address()).expect("connects");
-    send_head(&mut first, "a");
-    wait_for(&backend, |totals| totals.runs == 1);
-    let shed = post(&backend, "b", 1)
+    send_call_head(&mut first, "a");
+    wait_for_totals(&backend, |totals| totals.runs == 1);
+    let shed = call_request(&backend, "b", 1)
         .header("lifthollow-deadline-ms", "5")
         .send()
         .expect("an answer");
@@ -105,13 +108,13 @@
 }
 
 #[test]
-fn the_fault_switch_makes_errors_and_cuts_answers() {
+fn injected_faults_cause_errors_truncated_responses_and_draining() {
     let backend = Standin::start(&["backend", "--service", "s", "--service-ms", "1"]);
     backend.put("/fault", r#"{"error_ratio": 1.0}"#);
     assert_eq!(call(&backend, "a").status().as_u16(), 500);
     backend.put("/fault", r#"{"cut_ratio": 1.0}"#);
     let mut stream = TcpStream::connect(backend.address()).expect("connects");
-    send_head(&mut stream, "b");
+    send_call_head(&mut stream, "b");
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer);
     let head_end = answer.windows(4).position(|bytes| bytes == b"\r\n\r\n");
@@ -126,7 +129,7 @@
 }
 
 #[test]
-fn health_that_lies_is_green_while_draining() {
+fn always_green_health_report_hides_draining() {
     let backend = Standin::start(&["backend", "--service", "s", "--reports", "green"]);
     backend.put("/fault", r#"{"draining": true}"#);
     let health = attohttpc::get(format!("http://{}/health", backend.address()));
@@ -134,7 +137,7 @@
 }
 
 #[test]
-fn a_call_survives_its_path_and_headers() {
+fn call_specification_round_trips_through_path_and_headers() {
     let call = CallSpecification {
         name: CallName {
             request: "load-1".to_owned(),
