--- a/crates/standin/src/load/account.rs
+++ b/crates/standin/src/load/account.rs
@@ -1,4 +1,4 @@
-//! Counts per second and in sum.
+//! Request counts per second and over the whole load, and the latencies of useful requests.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,46 +12,47 @@
 use super::request::Clients;
 use crate::json_lines;
 
-/// Counts for one priority class.
+/// Request counts of one priority class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassCounts {
-    /// Requests started.
+    /// Number of requests started.
     pub offered: u64,
-    /// Requests whose complete answer came in time.
+    /// Number of requests whose complete response arrived in time.
     pub goodput: u64,
 }
 
-/// Counts of requests; offered by their start, all else by their end.
+/// Counts of requests in a period. `offered` counts requests that started in the period, and
+/// the counts of outcomes those that ended in it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Requests started.
+    /// Number of requests started.
     pub offered: u64,
-    /// Requests whose complete answer came in time.
+    /// Number of requests whose complete response arrived in time.
     pub goodput: u64,
-    /// Requests whose complete answer came too late.
+    /// Number of requests whose complete response arrived too late.
     pub late: u64,
-    /// Requests that ended with a service's error.
+    /// Number of requests whose last attempt was answered with an error of the service.
     pub failed: u64,
-    /// Requests that ended with an answer that is not theirs.
+    /// Number of requests whose response was not the one expected for them.
     pub corrupt: u64,
-    /// Requests told in the end that they had not run, by reason.
+    /// Number of requests whose last attempt was answered as not executed, by reason.
     pub refused: BTreeMap<String, u64>,
-    /// Requests of which nothing is known in the end, by reason.
+    /// Number of requests whose last attempt has an unknown outcome, by reason.
     pub unknown: BTreeMap<String, u64>,
-    /// Attempts after the first.
+    /// Number of attempts after the first of their request.
     pub repeats: u64,
-    /// Requests that the load program had no room to send.
+    /// Number of requests not sent because too many requests were in progress.
     pub not_sent: u64,
-    /// By priority class.
+    /// Request counts by priority class.
     pub classes: BTreeMap<String, ClassCounts>,
 }
 
 impl Counts {
-    fn count_end(&mut self, record: &RequestRecord) {
+    fn add_outcome(&mut self, record: &RequestRecord) {
         match record.outcome {
             Outcome::Useful => {
                 self.goodput += 1;
-                self.class(&record.class).goodput += 1;
+                self.class_counts_mut(&record.class).goodput += 1;
             }
             Outcome::Late => self.late += 1,
             Outcome::Failed => self.failed += 1,
@@ -61,67 +62,68 @@
         }
     }
 
-    fn class(&mut self, class: &str) -> &mut ClassCounts {
+    fn class_counts_mut(&mut self, class: &str) -> &mut ClassCounts {
         self.classes.entry(class.to_owned()).or_default()
     }
 }
 
-/// One second of the load.
+/// Output line with the request counts of one second of the load.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SecondLine {
-    /// Whole seconds since the load's start.
+    /// Whole seconds since the start of the load.
     pub second: u64,
-    /// Counts of this second.
+    /// Request counts of this second.
     #[serde(flatten)]
     pub counts: Counts,
 }
 
-/// Latencies of useful requests in milliseconds.
+/// Latency percentiles of useful requests in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Latencies {
-    /// Median.
+    /// Median latency in milliseconds.
     pub p50_ms: f64,
-    /// 90 in 100 are at most this.
+    /// 90th percentile of the latency in milliseconds.
     pub p90_ms: f64,
-    /// 99 in 100 are at most this.
+    /// 99th percentile of the latency in milliseconds.
     pub p99_ms: f64,
-    /// Largest.
+    /// Maximum latency in milliseconds.
     pub max_ms: f64,
 }
 
-/// The last line of the load.
+/// Last output line of a load process, with the results of the whole load.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Summary {
-    /// Counts of the whole run.
+    /// Request counts of the whole load.
     pub summary: Counts,
-    /// Latencies of useful requests.
+    /// Latency percentiles of useful requests.
     pub latencies: Latencies,
 }
 
-/// Accounts for all requests of one load process.
-pub struct Account {
+/// Collects the request counts and latencies of one load process.
+pub struct LoadStatistics {
     started: Instant,
-    inner: Mutex<Inner>,
+    inner: Mutex<StatisticsState>,
 }
 
-struct Inner {
+struct StatisticsState {
     total: Counts,
     current: Counts,
     latencies: Histogram<u64>,
 }
 
-/// Latencies above this are counted as this, microseconds.
-const LATENCY_HIGHEST_MICROS: u64 = 3_600_000_000;
-const LATENCY_DIGITS: u8 = 3;
+/// Highest latency that the histogram can hold, in microseconds; higher ones are recorded as this.
+const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
+const LATENCY_SIGNIFICANT_DIGITS: u8 = 3;
 
-impl Account {
-    /// An empty account that starts now.
+impl LoadStatistics {
+    /// Creates empty statistics of a load that starts now.
     pub fn new() -> Self {
-        let latencies = Histogram::new_with_bounds(1, LATENCY_HIGHEST_MICROS, LATENCY_DIGITS)
-            .expect("constant bounds are valid");
-        Account {
+        let latencies =
+            Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, LATENCY_SIGNIFICANT_DIGITS)
+                .expect("constant bounds are valid");
+        LoadStatistics {
             started: Instant::now(),
-            inner: Mutex::new(Inner {
+            inner: Mutex::new(StatisticsState {
                 total: Counts::default(),
                 current: Counts::default(),
                 latencies,
@@ -129,40 +131,40 @@
         }
     }
 
-    /// A request starts.
-    pub fn offered(&self, class: &str) {
-        self.change(|counts| {
+    /// Counts the start of a request of the given priority class.
+    pub fn count_start(&self, class: &str) {
+        self.update(|counts| {
             counts.offered += 1;
-            counts.class(class).offered += 1;
+            counts.class_counts_mut(class).offered += 1;
         });
     }
 
-    /// A request is repeated.
-    pub fn repeated(&self) {
-        self.change(|counts| counts.repeats += 1);
+    /// Counts a repeated attempt.
+    pub fn count_retry(&self) {
+        self.update(|counts| counts.repeats += 1);
     }
 
-    /// A request could not be sent for lack of room.
-    pub fn not_sent(&self) {
-        self.change(|counts| counts.not_sent += 1);
+    /// Counts a request that was not sent because too many requests were in progress.
+    pub fn count_not_sent(&self) {
+        self.update(|counts| counts.not_sent += 1);
     }
 
-    /// A request has ended.
-    pub fn ended(&self, record: &RequestRecord, elapsed: Duration) {
-        self.change(|counts| counts.count_end(record));
+    /// Counts the outcome of a request, and records `elapsed` as its latency if it was useful.
+    pub fn count_outcome(&self, record: &RequestRecord, elapsed: Duration) {
+        self.update(|counts| counts.add_outcome(record));
         if record.outcome == Outcome::Useful {
             let micros = elapsed.as_micros() as u64;
             self.lock().latencies.saturating_record(micros);
         }
     }
 
-    fn change(&self, change: impl Fn(&mut Counts)) {
+    fn update(&self, change: impl Fn(&mut Counts)) {
         let mut inner = self.lock();
         change(&mut inner.total);
         change(&mut inner.current);
     }
 
-    fn take_second(&self) -> Counts {
+    fn take_current_second(&self) -> Counts {
         std::mem::take(&mut self.lock().current)
     }
 
@@ -180,34 +182,34 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, StatisticsState> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Default for Account {
+impl Default for LoadStatistics {
     fn default() -> Self {
-        Account::new()
+        LoadStatistics::new()
     }
 }
 
-/// Prints a line at the end of each second.
+/// Prints the request counts of each second at its end, until the task is aborted.
 pub async fn print_seconds(clients: Arc<Clients>) {
     for second in 0.. {
-        let end = clients.account.started + Duration::from_secs(second + 1);
+        let end = clients.statistics.started + Duration::from_secs(second + 1);
         tokio::time::sleep_until(end).await;
         print_second(&clients, second);
     }
 }
 
 fn print_second(clients: &Clients, second: u64) {
-    let counts = clients.account.take_second();
+    let counts = clients.statistics.take_current_second();
     if let Err(error) = json_lines::print(&SecondLine { second, counts }) {
-        eprintln!("cannot print: {error}");
+        eprintln!("cannot write request counts to standard output: {error}");
     }
 }
 
-/// Prints the sums.
+/// Prints the summary of the whole load.
 pub fn print_summary(clients: &Clients) -> anyhow::Result<()> {
-    Ok(json_lines::print(&clients.account.summary())?)
+    Ok(json_lines::print(&clients.statistics.summary())?)
 }
--- a/crates/standin/src/load/attempt.rs
+++ b/crates/standin/src/load/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: an HTTP call to a node, its answer checked to the last byte.
+//! One attempt of a request: an HTTP call to a node whose whole response body is verified.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -18,50 +18,50 @@
 use crate::content::{BodyDigest, Content};
 use crate::headers;
 
-/// How one attempt ended.
+/// Outcome of one attempt of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The complete answer to this very call.
+    /// The complete and correct response to the call arrived.
     Complete,
-    /// The service answered with an error.
+    /// The service answered the call with an error status.
     Failed(StatusCode),
-    /// The call did not run.
+    /// The call was answered as not executed.
     NotRun {
-        /// Why.
+        /// Reason given in the response for not executing the call.
         reason: String,
-        /// When to come back.
+        /// Delay after which the response allows a retry.
         retry_after: Option<Duration>,
     },
-    /// The call may have run.
+    /// The call may or may not have been executed.
     Unknown {
-        /// Why that is not known.
+        /// Reason why the outcome is unknown.
         reason: String,
     },
-    /// The answer was given as complete and is not the right one.
+    /// The response was marked complete, but its body is not the expected one.
     Corrupt,
 }
 
-/// The nodes that clients call, in turn.
-pub struct Entries {
+/// HTTP client that sends attempts to a list of nodes in round-robin order.
+pub struct NodeClient {
     addresses: Vec<SocketAddr>,
     next: AtomicUsize,
-    client: Client<HttpConnector, CallBody>,
+    client: Client<HttpConnector, RequestBody>,
 }
 
-impl Entries {
-    /// Clients of the nodes at `addresses`.
+impl NodeClient {
+    /// Creates a client of the nodes at `addresses`.
     pub fn new(addresses: Vec<SocketAddr>) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        Entries {
+        NodeClient {
             addresses,
             next: AtomicUsize::new(0),
             client: Client::builder(TokioExecutor::new()).build(connector),
         }
     }
 
-    /// Makes one attempt and waits for its end, at most `timeout`. A client
-    /// that stops waiting closes its connection.
+    /// Makes one attempt and waits for its end for at most `timeout`. The connection is closed if
+    /// the timeout expires.
     pub async fn attempt(
         &self,
         name: &CallName,
@@ -69,14 +69,14 @@
         kind: &CallKind,
         timeout: Duration,
     ) -> AttemptOutcome {
-        let call = self.send(name, key, kind, timeout);
+        let call = self.send_call(name, key, kind, timeout);
         match tokio::time::timeout(timeout, call).await {
             Ok(outcome) => outcome,
             Err(_) => unknown("client_timeout"),
         }
     }
 
-    async fn send(
+    async fn send_call(
         &self,
         name: &CallName,
         key: Option<&str>,
@@ -92,13 +92,14 @@
         let index = self.next.fetch_add(1, Ordering::Relaxed) % self.addresses.len();
         let content = Content::of_call(name, kind.body_bytes);
         let body_digest = content.digest();
-        let Ok(request) = build(self.addresses[index], &call, kind, timeout, content) else {
+        let Ok(request) = build_request(self.addresses[index], &call, kind, timeout, content)
+        else {
             return unknown("malformed_request");
         };
         match self.client.request(request).await {
             Ok(response) => {
                 let expected = Content::of_answer(&call, body_digest);
-                judge(response, expected).await
+                classify_response(response, expected).await
             }
             Err(error) => unknown(connection_reason(&error)),
         }
@@ -118,14 +119,14 @@
     AttemptOutcome::Unknown { reason }
 }
 
-fn build(
-    entry: SocketAddr,
+fn build_request(
+    node: SocketAddr,
     call: &CallSpecification,
     kind: &CallKind,
     timeout: Duration,
     content: Content,
-) -> hyper::http::Result<Request<CallBody>> {
-    let mut builder = Request::post(format!("http://{entry}{}", call.to_path()))
+) -> hyper::http::Result<Request<RequestBody>> {
+    let mut builder = Request::post(format!("http://{node}{}", call.to_path()))
         .header(headers::SERVICE, &kind.service)
         .header(headers::DEADLINE_MS, timeout.as_millis().to_string())
         .header(headers::REQUEST, &call.name.request)
@@ -139,28 +140,28 @@
     if let Some(key) = &call.key {
         builder = builder.header(headers::IDEMPOTENCY_KEY, key);
     }
-    builder.body(CallBody::new(content))
+    builder.body(RequestBody::new(content))
 }
 
-async fn judge(response: Response<Incoming>, expected: Content) -> AttemptOutcome {
+async fn classify_response(response: Response<Incoming>, expected: Content) -> AttemptOutcome {
     let status = response.status();
     let fields = response.headers().clone();
-    match text(&fields, headers::OUTCOME) {
+    match header(&fields, headers::OUTCOME) {
         Some("not-run") => return not_run(&fields),
-        Some("unknown") => return unknown(text(&fields, headers::REASON).unwrap_or("unnamed")),
+        Some("unknown") => return unknown(header(&fields, headers::REASON).unwrap_or("unnamed")),
         _ => {}
     }
-    if text(&fields, headers::NOT_RUN) == Some("yes") {
+    if header(&fields, headers::NOT_RUN) == Some("yes") {
         return not_run(&fields);
     }
     if !status.is_success() {
         return AttemptOutcome::Failed(status);
     }
-    let Some(digest) = read(response.into_body()).await else {
+    let Some(digest) = digest_body(response.into_body()).await else {
         return unknown("answer_cut");
     };
-    let complete = digest.length() == expected.length() && digest.finish() == expected.digest();
-    if complete {
+    let is_expected = digest.length() == expected.length() && digest.finish() == expected.digest();
+    if is_expected {
         AttemptOutcome::Complete
     } else {
         AttemptOutcome::Corrupt
@@ -169,28 +170,30 @@
 
 fn not_run(fields: &HeaderMap) -> AttemptOutcome {
     AttemptOutcome::NotRun {
-        reason: text(fields, headers::REASON)
+        reason: header(fields, headers::REASON)
             .unwrap_or("unnamed")
             .to_owned(),
-        retry_after: retry_after(fields),
+        retry_after: parse_retry_after(fields),
     }
 }
 
-/// The more exact of the two headers that say when to come back.
-fn retry_after(fields: &HeaderMap) -> Option<Duration> {
-    let millis = text(fields, headers::RETRY_AFTER_MS).and_then(|text| text.parse().ok());
-    let seconds = text(fields, headers::RETRY_AFTER).and_then(|text| text.parse().ok());
+/// Returns the retry delay of a response. The header in milliseconds takes precedence over the
+/// standard one in seconds, because it is more precise.
+fn parse_retry_after(fields: &HeaderMap) -> Option<Duration> {
+    let millis = header(fields, headers::RETRY_AFTER_MS).and_then(|text| text.parse().ok());
+    let seconds = header(fields, headers::RETRY_AFTER).and_then(|text| text.parse().ok());
     millis
         .map(Duration::from_millis)
         .or(seconds.map(Duration::from_secs))
 }
 
-fn text<'a>(fields: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header<'a>(fields: &'a HeaderMap, name: &str) -> Option<&'a str> {
     fields.get(name)?.to_str().ok()
 }
 
-/// Reads a body in bounded memory; `None` if it breaks off.
-async fn read(mut body: Incoming) -> Option<BodyDigest> {
+/// Reads a response body to its end in bounded memory and returns its digest, or `None` if the
+/// body ends early.
+async fn digest_body(mut body: Incoming) -> Option<BodyDigest> {
     let mut digest = BodyDigest::default();
     while let Some(frame) = body.frame().await {
         if let Some(piece) = frame.ok()?.data_ref() {
@@ -200,20 +203,23 @@
     Some(digest)
 }
 
-/// Body of a call, generated while it is sent.
-pub struct CallBody {
+/// Request body of a call, generated while it is sent.
+pub struct RequestBody {
     content: Content,
-    left: u64,
+    remaining_bytes: u64,
 }
 
-impl CallBody {
+impl RequestBody {
     fn new(content: Content) -> Self {
-        let left = content.length();
-        CallBody { content, left }
+        let remaining_bytes = content.length();
+        RequestBody {
+            content,
+            remaining_bytes,
+        }
     }
 }
 
-impl Body for CallBody {
+impl Body for RequestBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -223,16 +229,16 @@
     ) -> std::task::Poll<Option<Result<Frame<Bytes>, Infallible>>> {
         let block = self.content.next();
         if let Some(block) = &block {
-            self.left -= block.len() as u64;
+            self.remaining_bytes -= block.len() as u64;
         }
         std::task::Poll::Ready(block.map(|block| Ok(Frame::data(block))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.left == 0
+        self.remaining_bytes == 0
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.left)
+        SizeHint::with_exact(self.remaining_bytes)
     }
 }
--- a/crates/standin/src/load/call_kind.rs
+++ b/crates/standin/src/load/call_kind.rs
@@ -1,26 +1,27 @@
-//! What clients call.
+//! Kinds of calls that clients make, as parsed from the `--call` option.
 
 use std::str::FromStr;
 use std::time::Duration;
 
-/// One kind of call in the clients' mix.
+/// One kind of call in the mix of calls that clients make.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallKind {
-    /// The service.
+    /// Name of the called service.
     pub service: String,
-    /// Priority class, written in the header; empty to leave it to the table.
+    /// Priority class sent in the class header. If empty, no header is sent and the configuration
+    /// table determines the class.
     pub class: String,
-    /// Share of the mix, relative to the other kinds.
+    /// Weight of this kind in the mix, relative to the other kinds.
     pub share: f64,
-    /// Whether it carries an idempotency key.
+    /// Whether the calls carry an idempotency key.
     pub keyed: bool,
-    /// Length of the call's body.
+    /// Length of the request body in bytes.
     pub body_bytes: u64,
-    /// Length of the wanted answer.
+    /// Length of the requested response body in bytes.
     pub answer_bytes: u64,
-    /// How long the client waits for one attempt.
+    /// Maximum time that the client waits for the response to one attempt.
     pub timeout: Duration,
-    /// Pause between two blocks of the answer.
+    /// Delay between two blocks of the response body.
     pub pace: Duration,
 }
 
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -1,4 +1,5 @@
-//! Clients: open-loop load at a stated rate, with retries, that checks every answer.
+//! Load generator: simulated clients that send open-loop load at a configured rate, retry failed
+//! attempts and verify every response.
 
 mod account;
 mod attempt;
@@ -26,10 +27,10 @@
 pub use profile::{Phase, Profile};
 pub use record::{Outcome, RequestRecord};
 
-use account::Account;
-use attempt::Entries;
+use account::LoadStatistics;
+use attempt::NodeClient;
 use record::Recorder;
-use request::{Clients, RetryBehaviour};
+use request::{Clients, RetryPolicy};
 
 /// Sends calls to nodes at a stated rate and checks every answer.
 #[derive(FromArgs)]
@@ -71,7 +72,7 @@
     pub record: Option<PathBuf>,
 }
 
-/// Runs the whole profile and prints the summary.
+/// Generates the load of the whole profile and prints the summary.
 pub fn run(arguments: LoadArguments) -> anyhow::Result<()> {
     anyhow::ensure!(!arguments.entry.is_empty(), "give at least one --entry");
     anyhow::ensure!(!arguments.call.is_empty(), "give at least one --call");
@@ -79,20 +80,21 @@
         .worker_threads(WORKER_THREADS)
         .enable_all()
         .build()?;
-    runtime.block_on(send_all(arguments))
+    runtime.block_on(generate_load(arguments))
 }
 
 const WORKER_THREADS: usize = 2;
-/// Time after the last arrival for the last answers, beyond the clients' patience.
-const LAST_ANSWERS: Duration = Duration::from_secs(1);
+/// Time beyond the clients' patience for which the process waits for outstanding responses after
+/// the last arrival.
+const FINAL_RESPONSE_WAIT: Duration = Duration::from_secs(1);
 
-async fn send_all(arguments: LoadArguments) -> anyhow::Result<()> {
+async fn generate_load(arguments: LoadArguments) -> anyhow::Result<()> {
     let patience = Duration::from_millis(arguments.patience_ms);
     let clients = Arc::new(Clients {
-        entries: Entries::new(arguments.entry.clone()),
-        retries: RetryBehaviour::from_arguments(&arguments),
+        node_client: NodeClient::new(arguments.entry.clone()),
+        retries: RetryPolicy::from_arguments(&arguments),
         patience,
-        account: Account::new(),
+        statistics: LoadStatistics::new(),
         recorder: open_recorder(&arguments)?,
     });
     let printer = tokio::spawn(account::print_seconds(Arc::clone(&clients)));
@@ -102,7 +104,7 @@
         tokio::time::sleep_until(arrival.at).await;
         let kind = arguments.call[arrival.kind].clone();
         let Ok(permit) = Arc::clone(&outstanding).try_acquire_owned() else {
-            clients.account.not_sent();
+            clients.statistics.count_not_sent();
             continue;
         };
         let clients = Arc::clone(&clients);
@@ -111,8 +113,12 @@
             drop(permit);
         });
     }
-    let all = u32::try_from(arguments.max_outstanding)?;
-    let _ = tokio::time::timeout(patience + LAST_ANSWERS, outstanding.acquire_many(all)).await;
+    let all_permits = u32::try_from(arguments.max_outstanding)?;
+    let _ = tokio::time::timeout(
+        patience + FINAL_RESPONSE_WAIT,
+        outstanding.acquire_many(all_permits),
+    )
+    .await;
     printer.abort();
     clients.recorder.flush()?;
     account::print_summary(&clients)
@@ -123,7 +129,7 @@
     Ok(Recorder::new(file.map(BufWriter::new)))
 }
 
-/// One request about to be sent.
+/// A request and the time at which it is to be sent.
 struct Arrival {
     at: Instant,
     name: String,
@@ -131,7 +137,7 @@
     seed: u64,
 }
 
-/// Poisson arrivals along the profile.
+/// Generator of Poisson arrivals at the rates of a profile.
 struct Arrivals {
     generator: ChaCha8Rng,
     profile: Profile,
@@ -171,12 +177,12 @@
 
     fn choose_kind(&mut self) -> usize {
         let total: f64 = self.shares.iter().sum();
-        let mut place = self.generator.random::<f64>() * total;
+        let mut position = self.generator.random::<f64>() * total;
         for (index, share) in self.shares.iter().enumerate() {
-            if place < *share {
+            if position < *share {
                 return index;
             }
-            place -= share;
+            position -= share;
         }
         self.shares.len() - 1
     }
--- a/crates/standin/src/load/profile.rs
+++ b/crates/standin/src/load/profile.rs
@@ -1,25 +1,26 @@
-//! Rates over time.
+//! Load profiles: request rates over time.
 
 use std::str::FromStr;
 
-/// A stretch of time with one rate.
+/// A period of a load profile with a constant request rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Phase {
-    /// Length in seconds.
+    /// Duration of the phase in seconds.
     pub seconds: f64,
-    /// Requests a second.
+    /// Request rate of the phase in requests per second.
     pub rate: f64,
 }
 
-/// Phases in order.
+/// Load profile as a sequence of phases in the order in which they take place.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Profile(pub Vec<Phase>);
 
-/// Longest profile in seconds, so that no load runs for ever.
+/// Maximum total duration of a profile in seconds, so that every load process ends.
 const MAX_SECONDS: f64 = 600.0;
 
 impl Profile {
-    /// The rate `elapsed` seconds after the start; `None` after the end.
+    /// Returns the request rate `elapsed` seconds after the start of the profile, or `None` after
+    /// its end.
     pub fn rate_at(&self, elapsed: f64) -> Option<f64> {
         let mut end = 0.0;
         for phase in &self.0 {
--- a/crates/standin/src/load/record.rs
+++ b/crates/standin/src/load/record.rs
@@ -1,4 +1,4 @@
-//! How every request ended, for checks against the back ends' ledgers.
+//! Records of the outcome of every request, for comparison with the back ends' ledgers.
 
 use std::fs::File;
 use std::io::{BufWriter, Write};
@@ -6,65 +6,66 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How a request ended for its client.
+/// Outcome of a request as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The complete answer came in time.
+    /// The complete response arrived in time.
     Useful,
-    /// The complete answer came too late.
+    /// The complete response arrived too late.
     Late,
-    /// The service answered with an error.
+    /// The last attempt was answered with an error of the service.
     Failed,
-    /// The last attempt was told that it had not run.
+    /// The last attempt was answered as not executed.
     NotRun,
-    /// Nothing is known of the last attempt.
+    /// It is unknown whether the last attempt was executed.
     Unknown,
-    /// An answer came as complete that is not the answer to this request.
+    /// A response was marked complete, but is not the expected response to this request.
     Corrupt,
 }
 
-/// One request and how it ended.
+/// Record of one request and its outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestRecord {
-    /// The client's name for it.
+    /// Name that the client gave to the request.
     pub request: String,
-    /// The service called.
+    /// Name of the called service.
     pub service: String,
-    /// Priority class.
+    /// Priority class of the request; empty if the client sent none.
     pub class: String,
-    /// Its idempotency key.
+    /// Idempotency key of the request, if it has one.
     pub key: Option<String>,
-    /// Attempts made.
+    /// Number of attempts made.
     pub attempts: u32,
-    /// Attempts that were told that they had not run.
+    /// Numbers of the attempts that were answered as not executed; 1 is the first attempt.
     pub not_run_attempts: Vec<u32>,
-    /// Attempts whose answer was a complete success.
+    /// Numbers of the attempts that received a complete and correct response.
     pub complete_attempts: Vec<u32>,
-    /// The end.
+    /// Final outcome of the request.
     pub outcome: Outcome,
-    /// Why it was refused or is unknown; empty otherwise.
+    /// Reason for a refusal or an unknown outcome, or the status code of an error; empty otherwise.
     pub reason: String,
-    /// Wall-clock time of its start in milliseconds.
+    /// Wall-clock time of the request's start in milliseconds since the Unix epoch.
     pub started_ms: u64,
-    /// Time from its start to its end in milliseconds.
+    /// Time from the request's start to its end in milliseconds.
     pub elapsed_ms: u64,
 }
 
-/// Writes records to a file, if there is one.
+/// Writes request records to a file, or discards them if there is none.
 pub struct Recorder {
     output: Option<Mutex<BufWriter<File>>>,
 }
 
 impl Recorder {
-    /// A recorder that writes to `output`.
+    /// Creates a recorder that writes to `output`.
     pub fn new(output: Option<BufWriter<File>>) -> Self {
         Recorder {
             output: output.map(Mutex::new),
         }
     }
 
-    /// Writes one record; an error shows at [`Recorder::flush`] at the latest.
+    /// Writes one record. Errors are printed to standard error here or returned by
+    /// [`Recorder::flush`], because the output is buffered.
     pub fn write(&self, record: &RequestRecord) {
         let Some(output) = &self.output else {
             return;
@@ -75,11 +76,11 @@
         line.push(b'\n');
         let mut output = output.lock().unwrap_or_else(PoisonError::into_inner);
         if let Err(error) = output.write_all(&line) {
-            eprintln!("cannot write a record: {error}");
+            eprintln!("cannot write a request record to the record file: {error}");
         }
     }
 
-    /// Writes out what is buffered.
+    /// Writes all buffered records to the file.
     pub fn flush(&self) -> std::io::Result<()> {
         match &self.output {
             Some(output) => output
--- a/crates/standin/src/load/request.rs
+++ b/crates/standin/src/load/request.rs
@@ -1,4 +1,4 @@
-//! One client's request with its repeats.
+//! A client's request with its retries.
 
 use std::time::Duration;
 
@@ -7,80 +7,81 @@
 use tokio::time::Instant;
 
 use super::LoadArguments;
-use super::account::Account;
-use super::attempt::{AttemptOutcome, Entries};
+use super::account::LoadStatistics;
+use super::attempt::{AttemptOutcome, NodeClient};
 use super::call_kind::CallKind;
 use super::record::{Outcome, Recorder, RequestRecord};
 use crate::backend::unix_millis;
 use crate::call::CallName;
 
-/// How clients repeat.
+/// Retry policy of the clients.
 #[derive(Clone, Copy, Debug)]
-pub struct RetryBehaviour {
+pub struct RetryPolicy {
     attempts: u32,
     backoff: Duration,
     honour_retry_after: bool,
 }
 
-impl RetryBehaviour {
-    /// As the flags say.
+impl RetryPolicy {
+    /// Creates the retry policy given by the command-line arguments.
     pub fn from_arguments(arguments: &LoadArguments) -> Self {
-        RetryBehaviour {
+        RetryPolicy {
             attempts: arguments.attempts.max(1),
             backoff: Duration::from_millis(arguments.backoff_ms),
             honour_retry_after: arguments.honour_retry_after,
         }
     }
 
-    /// Pause after attempt number `attempt`: doubled each time, between half
-    /// and the whole of it by chance, and no shorter than a refusal asked for.
-    fn pause(
+    /// Returns the delay after attempt number `attempt`. The delay doubles with each attempt, is
+    /// reduced by a random factor between 0.5 and 1, and is at least the `retry_after` of a refusal
+    /// if clients honour it.
+    fn retry_delay(
         &self,
         attempt: u32,
         retry_after: Option<Duration>,
         generator: &mut ChaCha8Rng,
     ) -> Duration {
-        let doubled = self.backoff * 2u32.saturating_pow(attempt - 1);
-        let pause = doubled.mul_f64(generator.random_range(0.5..=1.0));
+        let backoff = self.backoff * 2u32.saturating_pow(attempt - 1);
+        let delay = backoff.mul_f64(generator.random_range(0.5..=1.0));
         match retry_after {
-            Some(asked) if self.honour_retry_after => pause.max(asked),
-            _ => pause,
+            Some(asked) if self.honour_retry_after => delay.max(asked),
+            _ => delay,
         }
     }
 }
 
-/// All clients of one load process.
+/// State shared by all requests of one load process.
 pub struct Clients {
-    /// The nodes called.
-    pub entries: Entries,
-    /// How clients repeat.
-    pub retries: RetryBehaviour,
-    /// After this an answer is no longer useful.
+    /// HTTP client that sends attempts to the nodes.
+    pub node_client: NodeClient,
+    /// Retry policy of the clients.
+    pub retries: RetryPolicy,
+    /// Time after a request's start at which a response is no longer useful.
     pub patience: Duration,
-    /// Counts.
-    pub account: Account,
-    /// Records of requests.
+    /// Request counts and latencies.
+    pub statistics: LoadStatistics,
+    /// Writer of the request records.
     pub recorder: Recorder,
 }
 
 impl Clients {
-    /// Makes a request to its end and accounts for it.
+    /// Makes a request with its retries, and counts and records its outcome.
     pub async fn make_request(&self, request: String, kind: CallKind, seed: u64) {
         let started = Instant::now();
-        self.account.offered(&kind.class);
+        self.statistics.count_start(&kind.class);
         let mut record = new_record(request, &kind);
         let outcome = self
-            .attempt_until_done(&mut record, &kind, seed, started)
+            .attempt_with_retries(&mut record, &kind, seed, started)
             .await;
         let elapsed = started.elapsed();
         record.elapsed_ms = elapsed.as_millis() as u64;
         record.outcome = self.final_outcome(&outcome, elapsed);
-        record.reason = reason_of(outcome);
-        self.account.ended(&record, elapsed);
+        record.reason = outcome_reason(outcome);
+        self.statistics.count_outcome(&record, elapsed);
         self.recorder.write(&record);
     }
 
-    async fn attempt_until_done(
+    async fn attempt_with_retries(
         &self,
         record: &mut RequestRecord,
         kind: &CallKind,
@@ -91,21 +92,21 @@
         loop {
             record.attempts += 1;
             let outcome = self.attempt(record, kind, started).await;
-            note_attempt(record, &outcome);
+            record_attempt_outcome(record, &outcome);
             let retry_after = match &outcome {
                 AttemptOutcome::Complete | AttemptOutcome::Corrupt => return outcome,
                 AttemptOutcome::NotRun { retry_after, .. } => *retry_after,
                 AttemptOutcome::Failed(_) | AttemptOutcome::Unknown { .. } => None,
             };
-            let pause = self
+            let delay = self
                 .retries
-                .pause(record.attempts, retry_after, &mut generator);
-            let too_late = started.elapsed() + pause >= self.patience;
+                .retry_delay(record.attempts, retry_after, &mut generator);
+            let too_late = started.elapsed() + delay >= self.patience;
             if record.attempts >= self.retries.attempts || too_late {
                 return outcome;
             }
-            tokio::time::sleep(pause).await;
-            self.account.repeated();
+            tokio::time::sleep(delay).await;
+            self.statistics.count_retry();
         }
     }
 
@@ -120,9 +121,9 @@
             attempt: record.attempts,
             caller: String::new(),
         };
-        let left = self.patience.saturating_sub(started.elapsed());
-        let timeout = kind.timeout.min(left);
-        self.entries
+        let remaining = self.patience.saturating_sub(started.elapsed());
+        let timeout = kind.timeout.min(remaining);
+        self.node_client
             .attempt(&name, record.key.as_deref(), kind, timeout)
             .await
     }
@@ -155,7 +156,7 @@
     }
 }
 
-fn note_attempt(record: &mut RequestRecord, outcome: &AttemptOutcome) {
+fn record_attempt_outcome(record: &mut RequestRecord, outcome: &AttemptOutcome) {
     match outcome {
         AttemptOutcome::NotRun { .. } => record.not_run_attempts.push(record.attempts),
         AttemptOutcome::Complete => record.complete_attempts.push(record.attempts),
@@ -163,7 +164,7 @@
     }
 }
 
-fn reason_of(outcome: AttemptOutcome) -> String {
+fn outcome_reason(outcome: AttemptOutcome) -> String {
     match outcome {
         AttemptOutcome::NotRun { reason, .. } | AttemptOutcome::Unknown { reason } => reason,
         AttemptOutcome::Failed(status) => status.as_u16().to_string(),
--- a/crates/standin/tests/standin/load.rs
+++ b/crates/standin/tests/standin/load.rs
@@ -1,4 +1,4 @@
-//! The stand-in of clients, called straight against a back end.
+//! Tests of the load generator, which sends its calls directly to a back end.
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -8,7 +8,7 @@
 use crate::support::{Standin, run_load};
 
 #[test]
-fn every_useful_answer_stands_in_the_ledger() {
+fn every_useful_request_is_completed_once_in_the_ledger() {
     let backend = Standin::start(&["backend", "--service", "s", "--service-ms", "1"]);
     let entry = backend.address().to_string();
     let mix = "service=s,class=critical,keyed=yes,answer=40000,body=30000,timeout_ms=60000";
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn latencies_are_measured_beyond_the_first_microseconds() {
+fn latency_percentiles_include_the_service_time() {
     let backend = Standin::start(&["backend", "--service", "s", "--service-ms", "30"]);
     let entry = backend.address().to_string();
     let load = ["load", "--entry", &entry, "--profile", "1:20", "--call"];
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn clients_repeat_a_failed_request_as_often_as_told() {
+fn failed_requests_are_retried_up_to_the_attempt_limit() {
     let backend = Standin::start(&["backend", "--service", "s", "--service-ms", "1"]);
     backend.put("/fault", r#"{"error_ratio": 1.0}"#);
     let entry = backend.address().to_string();
@@ -69,12 +69,12 @@
 }
 
 #[test]
-fn an_answer_to_another_call_is_corrupt() {
+fn response_with_unexpected_body_is_counted_as_corrupt() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
     let entry = listener.local_addr().expect("address").to_string();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            std::thread::spawn(move || answer_wrongly(stream));
+            std::thread::spawn(move || send_unexpected_body(stream));
         }
     });
     let load = [
@@ -89,8 +89,8 @@
     assert_eq!(summary.goodput, 0);
 }
 
-/// Answers the first request of a connection with a body that is not its own.
-fn answer_wrongly(mut stream: std::net::TcpStream) {
+/// Answers the first request of a connection with a body that is not the expected one.
+fn send_unexpected_body(mut stream: std::net::TcpStream) {
     let mut head = [0; 4096];
     if stream.read(&mut head).is_ok() {
         let _ = stream
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_profile_has_rates_over_time() {
+fn profile_parses_phases_and_rejects_invalid_rates_and_durations() {
     let profile: Profile = "10:200,5:800".parse().expect("a profile");
     assert_eq!(profile.rate_at(9.9), Some(200.0));
     assert_eq!(profile.rate_at(10.0), Some(800.0));
