--- a/crates/standin/src/platform/control.rs
+++ b/crates/standin/src/platform/control.rs
@@ -1,4 +1,5 @@
-//! The test operator's port: publishing and faults.
+//! HTTP control port of the platform service, through which a test publishes documents and
+//! injects faults.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -10,28 +11,29 @@
 
 use super::{ReaderFault, SharedPlatform, lock, publish_machines, publish_table};
 
-/// Longest document that the control port takes.
-const MAX_DOCUMENT_BYTES: u64 = 16 * 1024 * 1024;
+/// Maximum number of bytes that the control port reads from a request body.
+const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Starts the control port; returns its address.
+/// Starts the control port of `platform` and returns the address at which it listens.
 pub fn start(listen: SocketAddr, platform: &SharedPlatform) -> anyhow::Result<SocketAddr> {
     let platform = Arc::clone(platform);
-    control_port::start(listen, move |request| handle(&platform, request))
+    control_port::start(listen, move |request| handle_request(&platform, request))
 }
 
-fn handle(platform: &SharedPlatform, request: &Request) -> anyhow::Result<Response> {
+fn handle_request(platform: &SharedPlatform, request: &Request) -> anyhow::Result<Response> {
     match (request.method(), request.url().as_str()) {
-        ("PUT", "/table") => publish_table(platform, read_text(request)?),
-        ("PUT", "/machines") => publish_machines(platform, read_text(request)?),
+        ("PUT", "/table") => publish_table(platform, read_body_text(request)?),
+        ("PUT", "/machines") => publish_machines(platform, read_body_text(request)?),
         ("PUT", "/fault") => set_fault(platform, request)?,
         _ => return Ok(Response::empty_404()),
     }
     Ok(Response::text("ok\n"))
 }
 
-/// Sets the fault of one listener (`?reader=N`) or of all of them.
+/// Sets the injected fault of one listener (`?reader=N`), or of all listeners without the
+/// parameter.
 fn set_fault(platform: &SharedPlatform, request: &Request) -> anyhow::Result<()> {
-    let fault: ReaderFault = serde_json::from_str(&read_text(request)?)?;
+    let fault: ReaderFault = serde_json::from_str(&read_body_text(request)?)?;
     let mut platform = lock(platform);
     let Some(reader) = request.get_param("reader") else {
         platform.faults.fill(fault);
@@ -46,11 +48,11 @@
     Ok(())
 }
 
-fn read_text(request: &Request) -> anyhow::Result<String> {
+fn read_body_text(request: &Request) -> anyhow::Result<String> {
     let body = request
         .data()
-        .ok_or_else(|| anyhow::anyhow!("the body was read before"))?;
+        .ok_or_else(|| anyhow::anyhow!("request body was already consumed"))?;
     let mut text = String::new();
-    body.take(MAX_DOCUMENT_BYTES).read_to_string(&mut text)?;
+    body.take(MAX_BODY_BYTES).read_to_string(&mut text)?;
     Ok(text)
 }
--- a/crates/standin/src/platform/directory.rs
+++ b/crates/standin/src/platform/directory.rs
@@ -1,4 +1,4 @@
-//! Documents from a directory of files that the test operator edits.
+//! Publishes the documents in a directory whose files a test or a user edits.
 
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
@@ -12,30 +12,31 @@
 const MACHINES_FILE: &str = "machines.csv";
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Publishes what the directory holds now.
-pub fn read_into(directory: &Path, platform: &SharedPlatform) -> anyhow::Result<()> {
-    if let Some(table) = read_file(&directory.join(TABLE_FILE))? {
+/// Publishes the present contents of the table and machines files in `directory`. A missing file
+/// is ignored.
+pub fn publish_files(directory: &Path, platform: &SharedPlatform) -> anyhow::Result<()> {
+    if let Some(table) = read_file_if_present(&directory.join(TABLE_FILE))? {
         publish_table(platform, table);
     }
-    if let Some(machines) = read_file(&directory.join(MACHINES_FILE))? {
+    if let Some(machines) = read_file_if_present(&directory.join(MACHINES_FILE))? {
         publish_machines(platform, machines);
     }
     Ok(())
 }
 
-/// Publishes every later change of the directory.
-pub fn watch(directory: PathBuf, platform: SharedPlatform) {
+/// Starts a thread that polls the files in `directory` and publishes their changes.
+pub fn spawn_watcher(directory: PathBuf, platform: SharedPlatform) {
     std::thread::spawn(move || {
         loop {
             std::thread::sleep(POLL_INTERVAL);
-            if let Err(error) = read_into(&directory, &platform) {
+            if let Err(error) = publish_files(&directory, &platform) {
                 eprintln!("{error:#}");
             }
         }
     });
 }
 
-fn read_file(path: &Path) -> anyhow::Result<Option<String>> {
+fn read_file_if_present(path: &Path) -> anyhow::Result<Option<String>> {
     match std::fs::read_to_string(path) {
         Ok(text) => Ok(Some(text)),
         Err(error) if error.kind() == ErrorKind::NotFound => Ok(None),
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's configuration service: read-only towards lifthollow, with faults that the
-//! test operator sets at a separate control port.
+//! Simulated configuration service of the platform: read-only for lifthollow, with faults that a
+//! test injects through a separate control port.
 
 mod control;
 mod directory;
@@ -43,16 +43,16 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// State shared by the platform's listeners.
+/// Platform state shared by the listeners and the control port.
 pub type SharedPlatform = Arc<Mutex<Platform>>;
 
-/// Serves until the process is stopped.
+/// Runs the configuration service until the process is stopped.
 pub fn run(arguments: PlatformArguments) -> anyhow::Result<()> {
     let lag = Duration::from_millis(arguments.machines_lag_ms);
     let platform = Arc::new(Mutex::new(Platform::new(arguments.readers, lag)));
     if let Some(path) = &arguments.directory {
-        directory::read_into(path, &platform)?;
-        directory::watch(path.clone(), Arc::clone(&platform));
+        directory::publish_files(path, &platform)?;
+        directory::spawn_watcher(path.clone(), Arc::clone(&platform));
     }
     let addresses = start_readers(&arguments, &platform)?;
     let control = control::start(arguments.control, &platform)?;
@@ -76,19 +76,19 @@
         .collect()
 }
 
-/// Locks the platform's state, also after a panic elsewhere.
+/// Locks the platform's state, even if another thread panicked while it held the lock.
 fn lock(platform: &SharedPlatform) -> std::sync::MutexGuard<'_, Platform> {
     platform
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// Publishes a new table now.
+/// Publishes `text` as the newest edition of the configuration table.
 fn publish_table(platform: &SharedPlatform, text: String) {
     lock(platform).tables.publish(Instant::now(), text);
 }
 
-/// Publishes a new list of machines now.
+/// Publishes `text` as the newest edition of the list of machines.
 fn publish_machines(platform: &SharedPlatform, text: String) {
     lock(platform).machines.publish(Instant::now(), text);
 }
--- a/crates/standin/src/platform/publication.rs
+++ b/crates/standin/src/platform/publication.rs
@@ -1,10 +1,10 @@
-//! What was published when, and what a reader gets to see of it.
+//! Publication history of the documents, and the edition that each listener serves.
 
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
 
-/// Editions of one document, oldest first.
+/// Published editions of one document, oldest first.
 #[derive(Debug, Default)]
 pub struct History {
     editions: Vec<Edition>,
@@ -17,7 +17,7 @@
 }
 
 impl History {
-    /// Adds an edition unless it is the same as the newest.
+    /// Adds an edition published at `now`, unless its text equals that of the newest edition.
     pub fn publish(&mut self, now: Instant, text: String) {
         if self.editions.last().is_some_and(|last| last.text == text) {
             return;
@@ -26,15 +26,16 @@
         self.editions.push(Edition { published, text });
     }
 
-    /// The newest edition that is at least `age` old, or the first one if all
-    /// are younger, moved back by `editions_behind` editions.
+    /// Returns the text of the newest edition that is at least `age` old, or of the first one if
+    /// all are younger, moved back by `editions_behind` editions. Returns `None` if nothing has
+    /// been published.
     pub fn at(&self, now: Instant, age: Duration, editions_behind: usize) -> Option<&str> {
-        let published = self
+        let old_enough_count = self
             .editions
             .iter()
             .filter(|edition| now.saturating_duration_since(edition.published) >= age)
             .count();
-        let newest = published.saturating_sub(1);
+        let newest = old_enough_count.saturating_sub(1);
         let index = newest.saturating_sub(editions_behind);
         self.editions
             .get(index)
@@ -42,24 +43,26 @@
     }
 }
 
-/// How the service treats one of its readers.
+/// Faults injected into one listener of the configuration service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ReaderFault {
-    /// Answers nothing but 503.
+    /// Whether the listener answers every GET request with status 503.
     pub down: bool,
-    /// Answers this much later.
+    /// Delay added to each response, in milliseconds.
     pub slow_ms: u64,
-    /// Answers as of this long ago.
+    /// Age of the state that the listener serves, in milliseconds.
     pub stale_ms: u64,
-    /// Answers this many editions of the table behind.
+    /// Number of editions by which the served table is older than the newest.
     pub editions_behind: usize,
-    /// Is up and down in turn for this long each; 0 means always up.
+    /// Duration in milliseconds of each of the alternating periods in which the listener is up and
+    /// down; 0 means always up.
     pub flapping_ms: u64,
 }
 
 impl ReaderFault {
-    /// Whether a request that arrives `elapsed` after the service's start gets 503.
+    /// Returns whether a request that arrives `elapsed` after the start of the service is answered
+    /// with status 503.
     pub fn refuses(&self, elapsed: Duration) -> bool {
         if self.down {
             return true;
@@ -69,21 +72,22 @@
     }
 }
 
-/// All that the platform knows.
+/// State of the configuration service: publication histories and injected faults.
 #[derive(Debug)]
 pub struct Platform {
-    /// Editions of the table.
+    /// Published editions of the configuration table.
     pub tables: History,
-    /// Editions of the list of machines.
+    /// Published editions of the list of machines.
     pub machines: History,
-    /// One fault setting for each listener.
+    /// Injected faults of each listener, by its index.
     pub faults: Vec<ReaderFault>,
     machines_lag: Duration,
     started: Instant,
 }
 
 impl Platform {
-    /// An empty platform with `readers` listeners.
+    /// Creates a platform with `readers` listeners and no published documents. The list of machines
+    /// is served with a delay of `machines_lag` after its publication.
     pub fn new(readers: usize, machines_lag: Duration) -> Self {
         Platform {
             tables: History::default(),
@@ -94,26 +98,27 @@
         }
     }
 
-    /// The fault setting of a listener at this moment.
+    /// Returns the faults injected at present into the listener with index `reader`.
     pub fn fault(&self, reader: usize) -> ReaderFault {
         self.faults.get(reader).copied().unwrap_or_default()
     }
 
-    /// Whether the listener refuses a request that arrives now.
+    /// Returns whether the listener with index `reader` answers a request that arrives now with
+    /// status 503.
     pub fn refuses(&self, reader: usize) -> bool {
         self.fault(reader).refuses(self.started.elapsed())
     }
 
-    /// The table as the listener shows it now.
+    /// Returns the table that the listener with index `reader` serves at `now`.
     pub fn table_for(&self, reader: usize, now: Instant) -> Option<&str> {
         let fault = self.fault(reader);
-        let stale = Duration::from_millis(fault.stale_ms);
-        self.tables.at(now, stale, fault.editions_behind)
+        let min_age = Duration::from_millis(fault.stale_ms);
+        self.tables.at(now, min_age, fault.editions_behind)
     }
 
-    /// The list of machines as the listener shows it now.
+    /// Returns the list of machines that the listener with index `reader` serves at `now`.
     pub fn machines_for(&self, reader: usize, now: Instant) -> Option<&str> {
-        let stale = Duration::from_millis(self.fault(reader).stale_ms);
-        self.machines.at(now, stale + self.machines_lag, 0)
+        let min_age = Duration::from_millis(self.fault(reader).stale_ms);
+        self.machines.at(now, min_age + self.machines_lag, 0)
     }
 }
--- a/crates/standin/tests/standin/platform.rs
+++ b/crates/standin/tests/standin/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the platform's read-only service.
+//! Tests of the simulated configuration service of the platform.
 
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_service_shows_what_was_published_and_takes_nothing() {
+fn published_documents_are_served_and_put_requests_are_rejected() {
     let platform = Standin::start(&["platform"]);
     assert_eq!(get(&platform, 0, "/table").0, 404);
     platform.put("/table", "lifthollow-table,1\n");
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn readers_see_different_faults() {
+fn each_listener_applies_only_its_own_fault() {
     let platform = Standin::start(&["platform", "--readers", "2"]);
     platform.put("/table", "one");
     platform.put("/table", "two");
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn an_age_hides_younger_editions() {
+fn minimum_age_hides_newer_editions() {
     let start = Instant::now();
     let mut history = History::default();
     history.publish(start, "one".to_owned());
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_list_of_machines_lags() {
+fn list_of_machines_is_served_with_the_configured_lag() {
     let start = Instant::now();
     let mut platform = Platform::new(1, Duration::from_secs(5));
     platform.machines.publish(start, "live".to_owned());
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_flapping_service_refuses_every_other_period() {
+fn flapping_listener_refuses_requests_in_every_second_period() {
     let fault = ReaderFault {
         flapping_ms: 100,
         ..ReaderFault::default()
