--- a/crates/standin/src/call.rs
+++ b/crates/standin/src/call.rs
@@ -1,8 +1,8 @@
-//! How one call is named between clients and back ends, apart from lifthollow's own headers.
+//! Identity of a call between clients and back ends, independent of lifthollow's own headers.
 //!
-//! The request and the key travel in the URL; the attempt and the caller travel in headers
-//! of the stand-in's own, so that a repeat of a keyed call has the same method, path and
-//! body. A call that arrives without these headers is refused.
+//! The request and the idempotency key are sent in the URL, the attempt and the caller in headers
+//! of this crate, so that a repeat of a call with a key has the same method, path and body. A call
+//! that arrives without these headers is rejected.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,47 +12,48 @@
 
 use crate::headers;
 
-/// Path under which back ends take calls.
+/// URL path at which back ends receive calls.
 pub const CALL_PATH: &str = "/call";
 
-/// Identity of one call that a client or a service handed to a node. Every
-/// attempt that nodes make for it carries the same name.
+/// Identity of one call that a client or a service sent to a node. Every attempt that nodes make
+/// for the call carries the same name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallName {
-    /// The client's name for the whole request.
+    /// Name that the client gave to the whole request.
     pub request: String,
-    /// Which of the client's attempts it belongs to; 1 is the first.
+    /// Number of the client's attempt to which the call belongs; 1 is the first.
     pub attempt: u32,
-    /// The run of a back end that made this nested call; empty for a client's call.
+    /// Execution on a back end that made this nested call; empty for a client's call.
     pub caller: String,
 }
 
-/// What a call asks of a back end.
+/// Identity of a call and the response that it asks of a back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallSpecification {
-    /// Its name.
+    /// Identity of the call.
     pub name: CallName,
-    /// The operation's name if it must run at most once.
+    /// Idempotency key, if the call must be executed at most once.
     pub key: Option<String>,
-    /// Length of the wanted answer.
+    /// Length of the requested response body in bytes.
     pub answer_bytes: u64,
-    /// Pause between two blocks of the answer.
+    /// Delay between two blocks of the response body.
     pub pace: Duration,
 }
 
-/// A request that does not describe a call.
+/// Error of a request that does not describe a call.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum BadCall {
-    /// A field is missing.
+    /// The named query field or header is missing.
     #[error("the request has no `{0}`")]
     Missing(&'static str),
-    /// A field is not a number.
+    /// The named query field or header is not a number.
     #[error("`{0}` is not a number")]
     NotANumber(&'static str),
 }
 
 impl CallSpecification {
-    /// The path and query, the same for every repeat of the call. Names must be URL-safe.
+    /// Returns the path and query of the call, which are the same for every repeat of it. The
+    /// request's name and the key must be URL-safe.
     pub fn to_path(&self) -> String {
         format!(
             "{CALL_PATH}?request={}&key={}&answer_bytes={}&pace_ms={}",
@@ -63,7 +64,7 @@
         )
     }
 
-    /// The headers that tell this call from its repeats.
+    /// Returns the headers that distinguish this call from its repeats.
     pub fn name_headers(&self) -> [(&'static str, String); 2] {
         [
             (headers::CALL_ATTEMPT, self.name.attempt.to_string()),
@@ -78,32 +79,35 @@
             .filter_map(|field| field.split_once('='))
             .collect();
         let name = CallName {
-            request: text(&fields, "request")?.to_owned(),
+            request: query_field(&fields, "request")?.to_owned(),
             attempt: parse(
                 header_text(header_fields, headers::CALL_ATTEMPT)?,
                 headers::CALL_ATTEMPT,
             )?,
             caller: header_text(header_fields, headers::CALL_CALLER)?.to_owned(),
         };
-        let key = text(&fields, "key")?;
+        let key = query_field(&fields, "key")?;
         Ok(CallSpecification {
             name,
             key: (!key.is_empty()).then(|| key.to_owned()),
-            answer_bytes: number(&fields, "answer_bytes")?,
-            pace: Duration::from_millis(number(&fields, "pace_ms")?),
+            answer_bytes: parse_query_field(&fields, "answer_bytes")?,
+            pace: Duration::from_millis(parse_query_field(&fields, "pace_ms")?),
         })
     }
 }
 
-fn text<'a>(fields: &BTreeMap<&str, &'a str>, name: &'static str) -> Result<&'a str, BadCall> {
+fn query_field<'a>(
+    fields: &BTreeMap<&str, &'a str>,
+    name: &'static str,
+) -> Result<&'a str, BadCall> {
     fields.get(name).copied().ok_or(BadCall::Missing(name))
 }
 
-fn number<T: std::str::FromStr>(
+fn parse_query_field<T: std::str::FromStr>(
     fields: &BTreeMap<&str, &str>,
     name: &'static str,
 ) -> Result<T, BadCall> {
-    parse(text(fields, name)?, name)
+    parse(query_field(fields, name)?, name)
 }
 
 fn header_text<'a>(header_fields: &'a HeaderMap, name: &'static str) -> Result<&'a str, BadCall> {
--- a/crates/standin/src/content.rs
+++ b/crates/standin/src/content.rs
@@ -1,15 +1,15 @@
-//! Bodies of calls and answers: generated block by block, and known to both ends, so that a
-//! client can check that an answer is complete and its own.
+//! Request and response bodies, generated block by block from seeds that both ends know, so that a
+//! client can verify that a response is complete and belongs to its call.
 
 use bytes::Bytes;
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
 use crate::call::{CallName, CallSpecification};
 
-/// Length of a generated block.
+/// Length of a generated block in bytes; the last block of a body can be shorter.
 pub const BLOCK_BYTES: usize = 16 * 1024;
 
-/// A body of a stated length whose every byte follows from a seed.
+/// A body of a given length whose bytes are determined by a seed, as an iterator over its blocks.
 #[derive(Clone, Debug)]
 pub struct Content {
     seed: u64,
@@ -18,15 +18,16 @@
 }
 
 impl Content {
-    /// The body of a client's call.
+    /// Creates the request body of a client's call, `length` bytes long.
     pub fn of_call(name: &CallName, length: u64) -> Self {
         let seed = xxh3_64(name.request.as_bytes());
         Content::new(seed, length)
     }
 
-    /// A back end's answer to `call` whose body had the digest `body_digest`. All repeats
-    /// of a keyed call have one answer, since it may be replayed to them; other calls of
-    /// one request have answers of their own for each caller.
+    /// Creates the response body to `call` whose request body had the digest `body_digest`. All
+    /// repeats of a call with an idempotency key have the same response, because a stored response
+    /// may be replayed to them. Other calls of one request have a different response for each
+    /// caller.
     pub fn of_answer(call: &CallSpecification, body_digest: u64) -> Self {
         let request = &call.name.request;
         let identity = match &call.key {
@@ -45,16 +46,16 @@
         }
     }
 
-    /// Whole length in bytes.
+    /// Returns the length of the whole body in bytes.
     pub fn length(&self) -> u64 {
         self.length
     }
 
-    /// Digest of the whole body.
+    /// Returns the digest of the whole body.
     pub fn digest(&self) -> u64 {
         let mut digest = BodyDigest::default();
-        let whole = Content::new(self.seed, self.length);
-        whole.for_each(|block| digest.update(&block));
+        let whole_body = Content::new(self.seed, self.length);
+        whole_body.for_each(|block| digest.update(&block));
         digest.finish()
     }
 }
@@ -63,11 +64,11 @@
     type Item = Bytes;
 
     fn next(&mut self) -> Option<Bytes> {
-        let left = self.length - self.position;
-        if left == 0 {
+        let remaining = self.length - self.position;
+        if remaining == 0 {
             return None;
         }
-        let length = left.min(BLOCK_BYTES as u64) as usize;
+        let length = remaining.min(BLOCK_BYTES as u64) as usize;
         let word = xxh3_64(&(self.seed ^ self.position).to_le_bytes()).to_le_bytes();
         self.position += length as u64;
         let block: Vec<u8> = word.into_iter().cycle().take(length).collect();
@@ -75,7 +76,7 @@
     }
 }
 
-/// Digest of a body that is read piece by piece.
+/// Incremental digest of a body that is read in pieces.
 #[derive(Default)]
 pub struct BodyDigest {
     hasher: Xxh3,
@@ -83,18 +84,18 @@
 }
 
 impl BodyDigest {
-    /// Takes in the next piece.
+    /// Adds the next piece of the body to the digest.
     pub fn update(&mut self, piece: &[u8]) {
         self.hasher.update(piece);
         self.length += piece.len() as u64;
     }
 
-    /// Bytes taken in so far.
+    /// Returns the number of bytes added so far.
     pub fn length(&self) -> u64 {
         self.length
     }
 
-    /// Digest of all pieces.
+    /// Returns the digest of all pieces added so far.
     pub fn finish(&self) -> u64 {
         self.hasher.digest()
     }
--- a/crates/standin/src/control_port.rs
+++ b/crates/standin/src/control_port.rs
@@ -1,4 +1,4 @@
-//! The HTTP port by which a test operator steers a stand-in.
+//! HTTP server for the control ports through which tests control back ends and the platform.
 
 use std::net::SocketAddr;
 
@@ -6,8 +6,8 @@
 
 const BAD_REQUEST: u16 = 400;
 
-/// Starts the port; returns its address. An error of `handle` is answered with
-/// its text and status 400.
+/// Starts a control port at `listen` and returns its address. An error of `handle` is answered
+/// with its text and status 400.
 pub fn start(
     listen: SocketAddr,
     handle: impl Fn(&Request) -> anyhow::Result<Response> + Send + Sync + 'static,
--- a/crates/standin/src/headers.rs
+++ b/crates/standin/src/headers.rs
@@ -1,30 +1,31 @@
 //! Names of the HTTP headers between callers, nodes and back ends.
 
-/// Names the service that is called.
+/// Name of the called service.
 pub const SERVICE: &str = "lifthollow-service";
 /// Remaining time of the call in milliseconds.
 pub const DEADLINE_MS: &str = "lifthollow-deadline-ms";
 /// Priority class of the call.
 pub const CLASS: &str = "lifthollow-class";
-/// The caller's name for an operation that must run at most once.
+/// Idempotency key: the caller's name for an operation that must be executed at most once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// The client's name for the whole request.
+/// Name that the client gave to the whole request.
 pub const REQUEST: &str = "lifthollow-request";
-/// Which attempt of the client this is; 1 is the first.
+/// Number of the client's attempt; 1 is the first.
 pub const ATTEMPT: &str = "lifthollow-attempt";
-/// Opaque context that a service copies to its own calls.
+/// Opaque context that a service copies from a call to the nested calls that it makes.
 pub const CONTEXT: &str = "lifthollow-context";
-/// What a node's answer means: `complete`, `not-run` or `unknown`.
+/// Outcome of the call in a node's response: `complete`, `not-run` or `unknown`.
 pub const OUTCOME: &str = "lifthollow-outcome";
-/// Why a node refused a call.
+/// Reason why a node refused the call or does not know its outcome.
 pub const REASON: &str = "lifthollow-reason";
-/// Milliseconds after which a refused caller may come back.
+/// Delay in milliseconds after which the caller of a refused call may retry it.
 pub const RETRY_AFTER_MS: &str = "lifthollow-retry-after-ms";
-/// Seconds after which a refused caller may come back.
+/// Delay in seconds after which the caller of a refused call may retry it.
 pub const RETRY_AFTER: &str = "retry-after";
-/// Set to `yes` by a back end on a call that it did not start.
+/// Set to `yes` by a back end in the response to a call that it did not start to execute.
 pub const NOT_RUN: &str = "lifthollow-not-run";
-/// The stand-in's own: which attempt of the client a call belongs to. Nodes pass it on.
+/// Header of this crate: number of the client's attempt to which a call belongs. Nodes forward it.
 pub const CALL_ATTEMPT: &str = "standin-attempt";
-/// The stand-in's own: the run that made a nested call, or nothing. Nodes pass it on.
+/// Header of this crate: the execution that made a nested call, or an empty value. Nodes forward
+/// it.
 pub const CALL_CALLER: &str = "standin-caller";
--- a/crates/standin/src/json_lines.rs
+++ b/crates/standin/src/json_lines.rs
@@ -1,16 +1,16 @@
-//! JSON lines on standard output, flushed one by one.
+//! Output of JSON lines to standard output, flushed after each line.
 
 use std::io::{self, Write};
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// The first line of every stand-in that listens: where it can be reached.
+/// First output line of every process of this crate that listens on ports, with its addresses.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReadyLine {
-    /// Addresses of the service itself.
+    /// Addresses at which the process provides its service.
     pub addresses: Vec<SocketAddr>,
-    /// Address of the control port.
+    /// Address of the process's control port.
     pub control: SocketAddr,
 }
 
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for what surrounds lifthollow, for tests and demonstrations on loopback: the
-//! platform's read-only service, back ends, clients, and the tool that starts them all.
+//! Simulated environment of lifthollow for tests and demonstrations on the loopback interface:
+//! the platform's configuration service, back ends, clients, and the experiments that start them.
 //!
-//! Nothing here shares code with lifthollow itself, so that what back ends and clients record
-//! is an independent account of what happened.
+//! This crate shares no code with lifthollow itself, so that the records of back ends and clients
+//! are independent evidence of what happened.
 
 pub mod backend;
 pub mod call;
