--- a/crates/standin/src/experiment/faults/acts.rs
+++ b/crates/standin/src/experiment/faults/acts.rs
@@ -1,4 +1,4 @@
-//! What happens in each fault, and the checks that only it allows.
+//! Steps of each fault scenario, and the checks that are specific to it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,21 +14,21 @@
 use crate::load::{Outcome, RequestRecord};
 use crate::platform::ReaderFault;
 
-/// A table is in force everywhere after this.
-const IN_FORCE: Duration = Duration::from_secs(7);
-/// A leaving back end gets no new work after this.
-const LEAVING_QUIET: Duration = Duration::from_secs(3);
-const DEAD_TIME: Duration = Duration::from_secs(3);
-const FROZEN_TIME: Duration = Duration::from_secs(5);
-const STALE_TIME: Duration = Duration::from_secs(3);
-/// The service whose node meets the fault.
+/// Maximum time until a published table is in force on every node.
+const TABLE_IN_FORCE_TIMEOUT: Duration = Duration::from_secs(7);
+/// Maximum time after the start of leaving in which a leaving back end may still start calls.
+const LEAVING_GRACE_PERIOD: Duration = Duration::from_secs(3);
+const KILLED_DURATION: Duration = Duration::from_secs(3);
+const FROZEN_DURATION: Duration = Duration::from_secs(5);
+const STALE_DURATION: Duration = Duration::from_secs(3);
+/// Service whose node is killed, frozen or replaced, and whose weight in the table is edited.
 const CRITICAL_SERVICE: &str = "topup";
-/// The service whose node is stopped: it also serves streams.
+/// Service whose server is stopped or leaves; it also serves streams.
 const STREAMING_SERVICE: &str = "voucher";
 
-/// One fault on one cluster.
+/// Execution of one fault scenario on one cluster.
 pub struct FaultRun {
-    /// The processes.
+    /// Cluster whose processes the scenario affects.
     pub cluster: Cluster,
     interrupt: Interrupt,
     verdicts: BTreeMap<&'static str, Verdict>,
@@ -36,14 +36,14 @@
     planned_stop: bool,
 }
 
-/// A server that leaves.
+/// A leaving server and the wall-clock time at which leaving began.
 struct Leaving {
     server: usize,
     since_ms: u64,
 }
 
 impl FaultRun {
-    /// A run without a fault so far.
+    /// Creates the execution of a scenario on `cluster`, without causing the fault yet.
     pub fn new(cluster: Cluster, interrupt: Interrupt) -> Self {
         FaultRun {
             cluster,
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Causes the fault and ends it.
-    pub fn act(&mut self, kind: FaultKind) -> anyhow::Result<()> {
+    /// Causes the fault `kind`, ends it and performs the checks during it.
+    pub fn execute(&mut self, kind: FaultKind) -> anyhow::Result<()> {
         match kind {
             FaultKind::KilledNode => self.kill_node(),
             FaultKind::FrozenNode => self.freeze_node(),
@@ -63,13 +63,13 @@
             FaultKind::PlatformStale => self.platform_stale(),
             FaultKind::TwoOperators => self.two_operators(),
             FaultKind::PlannedStop => self.stop_node(),
-            FaultKind::LeavingServer => self.leave(),
+            FaultKind::LeavingServer => self.mark_server_leaving(),
         }
     }
 
     fn kill_node(&mut self) -> anyhow::Result<()> {
         let server = self.first_server(CRITICAL_SERVICE)?;
-        self.replace_after(server, DEAD_TIME)?;
+        self.kill_and_replace_node(server, KILLED_DURATION)?;
         self.check_table_at(server, 1, "table_after_start")
     }
 
@@ -77,7 +77,7 @@
         let server = self.first_server(CRITICAL_SERVICE)?;
         let process = &self.cluster.servers[server].node.process;
         process.signal(Signal::STOP)?;
-        let slept = self.interrupt.sleep(FROZEN_TIME);
+        let slept = self.interrupt.sleep(FROZEN_DURATION);
         process.signal(Signal::CONT)?;
         slept
     }
@@ -89,7 +89,7 @@
         };
         self.cluster.platform.set_fault(None, &down)?;
         let server = self.first_server(CRITICAL_SERVICE)?;
-        self.replace_after(server, Duration::ZERO)?;
+        self.kill_and_replace_node(server, Duration::ZERO)?;
         self.check_table_at(server, 1, "table_after_start")?;
         self.cluster.platform.edit_table(&weight_cells(60))?;
         self.cluster.platform.publish_table()?;
@@ -109,16 +109,16 @@
         };
         self.cluster.platform.set_fault(Some(0), &stale)?;
         let server = self.first_reader_of(0)?;
-        self.replace_after(server, Duration::ZERO)?;
+        self.kill_and_replace_node(server, Duration::ZERO)?;
         self.check_table_at(server, 2, "table_after_start")?;
-        self.interrupt.sleep(STALE_TIME)?;
+        self.interrupt.sleep(STALE_DURATION)?;
         self.cluster.platform.edit_table(&weight_cells(70))?;
         self.cluster.platform.publish_table()?;
         self.check_in_force(3)
     }
 
-    /// One address of the service shows the first operator's table, the other
-    /// address the second operator's, both under the number 2.
+    /// Publishes two different tables with the number 2: one address of the configuration service
+    /// serves the first operator's table, the other address the second operator's.
     fn two_operators(&mut self) -> anyhow::Result<()> {
         let platform = &self.cluster.platform;
         let behind = ReaderFault {
@@ -146,12 +146,12 @@
         process.signal(Signal::TERM)?;
         let status = process.wait(STOP_TIMEOUT);
         let stopped = self.verdicts.entry("stops_when_told").or_default();
-        let ended_well = status.as_ref().is_ok_and(std::process::ExitStatus::success);
-        stopped.check(ended_well, || format!("{status:?}"));
+        let exited_successfully = status.as_ref().is_ok_and(std::process::ExitStatus::success);
+        stopped.check(exited_successfully, || format!("{status:?}"));
         Ok(())
     }
 
-    fn leave(&mut self) -> anyhow::Result<()> {
+    fn mark_server_leaving(&mut self) -> anyhow::Result<()> {
         let server = self.first_server(STREAMING_SERVICE)?;
         self.cluster.servers[server].state = "leaving";
         self.leaving = Some(Leaving {
@@ -167,7 +167,7 @@
         position.ok_or_else(|| anyhow::anyhow!("no server of {service}"))
     }
 
-    /// A server whose node reads the given address of the platform.
+    /// Returns the index of the first server whose node reads the given address of the platform.
     fn first_reader_of(&self, reader: usize) -> anyhow::Result<usize> {
         let address = self.cluster.platform.address(reader);
         let mut servers = self.cluster.servers.iter();
@@ -175,7 +175,7 @@
         position.ok_or_else(|| anyhow::anyhow!("no node reads {address}"))
     }
 
-    fn replace_after(&mut self, server: usize, dead_time: Duration) -> anyhow::Result<()> {
+    fn kill_and_replace_node(&mut self, server: usize, dead_time: Duration) -> anyhow::Result<()> {
         let node = &mut self.cluster.servers[server].node;
         node.process.signal(Signal::KILL)?;
         node.process.wait(STOP_TIMEOUT)?;
@@ -183,7 +183,8 @@
         node.replace()
     }
 
-    /// The node must get a table no older than `number` soon.
+    /// Checks that the node of `server` gets a table with at least the given number within the
+    /// maximum time until a table is in force.
     fn check_table_at(
         &mut self,
         server: usize,
@@ -196,7 +197,9 @@
                 .status()
                 .is_ok_and(|status| status.table_number >= number))
         };
-        let waited = self.interrupt.wait_until(name, IN_FORCE, has_table);
+        let waited = self
+            .interrupt
+            .wait_until(name, TABLE_IN_FORCE_TIMEOUT, has_table);
         self.interrupt.check()?;
         let verdict = self.verdicts.entry(name).or_default();
         verdict.check(waited.is_ok(), || {
@@ -206,7 +209,7 @@
     }
 
     fn check_in_force(&mut self, number: u64) -> anyhow::Result<()> {
-        let waited = self.cluster.wait_for_table(number, IN_FORCE);
+        let waited = self.cluster.wait_for_table(number, TABLE_IN_FORCE_TIMEOUT);
         self.interrupt.check()?;
         let verdict = self.verdicts.entry("in_force_everywhere").or_default();
         verdict.check(waited.is_ok(), || format!("{waited:?}"));
@@ -221,33 +224,36 @@
             versions.collect::<std::collections::BTreeSet<_>>()
         };
         let agreed = || Ok(versions().len() == 1);
-        let waited = self.interrupt.wait_until("one table", IN_FORCE, agreed);
+        let waited = self
+            .interrupt
+            .wait_until("one table", TABLE_IN_FORCE_TIMEOUT, agreed);
         self.interrupt.check()?;
         let verdict = self.verdicts.entry("one_table_everywhere").or_default();
         verdict.check(waited.is_ok(), || format!("{:?}", versions()));
         Ok(())
     }
 
-    /// The verdicts that only this fault allows.
+    /// Returns the verdicts of the checks that are specific to the fault.
     pub fn verdicts(
         &mut self,
         records: &[RequestRecord],
     ) -> anyhow::Result<BTreeMap<&'static str, Verdict>> {
         if let Some(leaving) = &self.leaving {
-            let verdict = self.leaving_quiet(leaving)?;
+            let verdict = self.check_leaving_server(leaving)?;
             self.verdicts.insert("leaving_quiet", verdict);
         }
         if self.planned_stop {
-            self.verdicts.insert("planned_stop", nothing_cut(records));
+            self.verdicts
+                .insert("planned_stop", check_no_unknown_outcomes(records));
         }
         Ok(self.verdicts.clone())
     }
 
-    /// No run starts at the leaving back end after the bound. What was sent to
-    /// it before is not checked, so the server must have been in use.
-    fn leaving_quiet(&self, leaving: &Leaving) -> anyhow::Result<Verdict> {
+    /// Checks that the leaving back end starts no execution after the time limit. Calls sent to it
+    /// before the limit are not checked, so the server must have been in use.
+    fn check_leaving_server(&self, leaving: &Leaving) -> anyhow::Result<Verdict> {
         let backend = &self.cluster.servers[leaving.server].backend;
-        let last_allowed = leaving.since_ms + LEAVING_QUIET.as_millis() as u64;
+        let last_allowed = leaving.since_ms + LEAVING_GRACE_PERIOD.as_millis() as u64;
         let mut verdict = Verdict::default();
         for call in &backend.ledger()?.calls {
             let start = call.times.last_start_ms;
@@ -260,8 +266,8 @@
     }
 }
 
-/// No request may end in doubt because of a planned stop.
-fn nothing_cut(records: &[RequestRecord]) -> Verdict {
+/// Checks that no request has an unknown outcome because of a planned stop.
+fn check_no_unknown_outcomes(records: &[RequestRecord]) -> Verdict {
     let mut verdict = Verdict::default();
     for record in records {
         let known = record.outcome != Outcome::Unknown;
@@ -270,7 +276,7 @@
     verdict
 }
 
-/// Cells that move the critical service's weight.
+/// Returns the table cells that set the critical service's weight on both sides.
 fn weight_cells(weight: u32) -> Vec<String> {
     ["old", "new"]
         .into_iter()
--- a/crates/standin/src/experiment/faults/kind.rs
+++ b/crates/standin/src/experiment/faults/kind.rs
@@ -1,31 +1,31 @@
-//! The faults by name.
+//! Kinds of faults and their names on the command line.
 
 use std::str::FromStr;
 
 use serde::Serialize;
 
-/// One fault.
+/// Kind of a fault that the experiment can cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
     /// A node is killed without warning and replaced at its address.
     KilledNode,
-    /// A node is frozen and wakes up late.
+    /// A node's process is suspended and resumed several seconds later.
     FrozenNode,
     /// The configuration service is down while a node is replaced.
     PlatformDown,
-    /// The configuration service answers an older table to some while a node is replaced.
+    /// The configuration service serves an older table to some nodes while a node is replaced.
     PlatformStale,
     /// Two operators publish different tables under one number.
     TwoOperators,
-    /// A node is told to stop while calls and streams are in progress.
+    /// A node receives SIGTERM while calls and streams are in progress.
     PlannedStop,
-    /// A server is put on the leaving list.
+    /// A server is marked as leaving in the list of machines.
     LeavingServer,
 }
 
 impl FaultKind {
-    /// All faults.
+    /// All kinds of faults.
     pub const ALL: [FaultKind; 7] = [
         FaultKind::KilledNode,
         FaultKind::FrozenNode,
@@ -36,7 +36,7 @@
         FaultKind::LeavingServer,
     ];
 
-    /// Its name.
+    /// Returns the fault's name on the command line.
     pub fn as_str(self) -> &'static str {
         match self {
             FaultKind::KilledNode => "killed-node",
--- a/crates/standin/src/experiment/faults/mod.rs
+++ b/crates/standin/src/experiment/faults/mod.rs
@@ -1,4 +1,5 @@
-//! The users' faults on real processes, and the promises checked under each.
+//! Fault experiments: causes the users' fault scenarios on real processes and checks the promises
+//! under each.
 
 mod acts;
 mod config_watch;
@@ -43,19 +44,19 @@
 
 const WEIGHTS: [u32; 2] = [50, 50];
 const LOAD_SECONDS: usize = 16;
-/// Seconds of load before the fault.
-const BEFORE_SECONDS: usize = 4;
-/// Load relative to what both sides can serve.
-const LOAD: f64 = 0.25;
+/// Duration of the load before the fault is caused, in seconds.
+const SECONDS_BEFORE_FAULT: usize = 4;
+/// Request rate as a fraction of the capacity of both sides.
+const LOAD_FRACTION: f64 = 0.25;
 const CLIENT_ATTEMPTS: u32 = 3;
 const PATIENCE: Duration = Duration::from_secs(3);
-/// Streams that are in progress while the fault lasts.
+/// Rate at which clients start streams in the background of a fault, in streams per second.
 const STREAMS_PER_SECOND: f64 = 2.0;
 const STREAM_CALL: &str =
     "service=voucher,class=normal,keyed=no,answer=400000,pace_ms=100,timeout_ms=9000";
 const STREAM_PATIENCE: Duration = Duration::from_secs(10);
 
-/// What one fault led to.
+/// Results of one fault experiment.
 #[derive(Serialize)]
 struct FaultReport {
     fault: FaultKind,
@@ -71,7 +72,7 @@
     }
 }
 
-/// Causes every fault in turn; an error if a promise broke.
+/// Causes the selected faults one after the other. Returns an error if a promise was broken.
 pub fn run(arguments: FaultsArguments) -> anyhow::Result<()> {
     let interrupt = Interrupt::on_signals()?;
     let programs = Programs::find(arguments.programs)?;
@@ -84,7 +85,7 @@
     let mut reports = Vec::new();
     for kind in kinds {
         let fault_logs = logs.inside(kind.as_str());
-        let report = cause(kind, arguments.seed, &programs, &fault_logs, &interrupt)?;
+        let report = run_experiment(kind, arguments.seed, &programs, &fault_logs, &interrupt)?;
         json_lines::print(&report)?;
         reports.push(report);
     }
@@ -99,7 +100,7 @@
     Ok(())
 }
 
-fn cause(
+fn run_experiment(
     kind: FaultKind,
     seed: u64,
     programs: &Programs,
@@ -111,11 +112,11 @@
     let watch = ConfigWatch::start(&cluster);
     let mut calls = cluster.start_load(&calls_plan(&cluster.mesh, seed))?;
     let streams = cluster.start_load(&streams_plan(seed))?;
-    calls.wait_for_second(BEFORE_SECONDS, interrupt)?;
+    calls.wait_for_second(SECONDS_BEFORE_FAULT, interrupt)?;
     let mut run = FaultRun::new(cluster, interrupt.clone());
-    run.act(kind)?;
-    let calls = finish(calls, PATIENCE, interrupt)?;
-    let streams = finish(streams, STREAM_PATIENCE, interrupt)?;
+    run.execute(kind)?;
+    let calls = finish_load(calls, PATIENCE, interrupt)?;
+    let streams = finish_load(streams, STREAM_PATIENCE, interrupt)?;
     let records: Vec<RequestRecord> = [calls.records, streams.records].concat();
     let mut verdicts = run.verdicts(&records)?;
     verdicts.insert("config_forward", watch.finish());
@@ -131,7 +132,7 @@
     })
 }
 
-fn finish(
+fn finish_load(
     load: LoadProcess,
     patience: Duration,
     interrupt: &Interrupt,
@@ -141,7 +142,7 @@
 }
 
 fn calls_plan(mesh: &Mesh, seed: u64) -> LoadPlan {
-    let rate = mesh.capacity(WEIGHTS.len(), "", 1.0) * LOAD;
+    let rate = mesh.capacity(WEIGHTS.len(), "", 1.0) * LOAD_FRACTION;
     LoadPlan {
         name: "calls".to_owned(),
         calls: mix_of(mesh),
