--- a/crates/daemon/src/traffic/parents.rs
+++ b/crates/daemon/src/traffic/parents.rs
@@ -21,7 +21,7 @@
 
 /// The text is not a valid context token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a context token issued by a node")]
+#[error("not a value that a node handed out")]
 pub struct MalformedToken;
 
 impl fmt::Display for ContextToken {
--- a/crates/daemon/src/traffic/request_body.rs
+++ b/crates/daemon/src/traffic/request_body.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
     /// The caller closed the connection or violated the HTTP protocol.
-    #[error("the request body ended early: {0}")]
+    #[error("the request's body broke off: {0}")]
     Broken(#[from] hyper::Error),
     /// The call has an idempotency key and a body too large to be read whole.
     #[error(
--- a/crates/standin/src/backend/control.rs
+++ b/crates/standin/src/backend/control.rs
@@ -54,7 +54,7 @@
 fn read_body_text(request: &Request) -> anyhow::Result<String> {
     let body = request
         .data()
-        .ok_or_else(|| anyhow::anyhow!("request body was already consumed"))?;
+        .ok_or_else(|| anyhow::anyhow!("the body was read before"))?;
     let mut text = String::new();
     body.take(MAX_BODY_BYTES).read_to_string(&mut text)?;
     Ok(text)
--- a/crates/standin/src/platform/control.rs
+++ b/crates/standin/src/platform/control.rs
@@ -51,7 +51,7 @@
 fn read_body_text(request: &Request) -> anyhow::Result<String> {
     let body = request
         .data()
-        .ok_or_else(|| anyhow::anyhow!("request body was already consumed"))?;
+        .ok_or_else(|| anyhow::anyhow!("the body was read before"))?;
     let mut text = String::new();
     body.take(MAX_BODY_BYTES).read_to_string(&mut text)?;
     Ok(text)
