--- a/crates/coordination/src/mesh/admission_queue.rs
+++ b/crates/coordination/src/mesh/admission_queue.rs
@@ -117,7 +117,7 @@
         self.start_waiting(now)
     }
 
-    /// Records that other nodes were told this rate limit of the server.
+    /// Records that this rate limit of the server was reported to other nodes.
     pub fn note_limit_told_to_others(&mut self, now: Timestamp, limit: RequestRate) {
         self.rate_limiter.note_limit_told_to_others(now, limit);
     }
--- a/crates/coordination/src/mesh/call.rs
+++ b/crates/coordination/src/mesh/call.rs
@@ -1,4 +1,4 @@
-//! One request of a caller: its attempts, and what the caller is told.
+//! One request of a caller: its attempts, and the final answer to the caller.
 //!
 //! A route limits the number of servers that a request may be sent to. A server that has
 //! refused to run the request is skipped while there are others. After that, it may be tried
@@ -22,7 +22,7 @@
 /// server may have a free slot.
 const REFUSING_SERVER_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// The server answered. Its answer is complete or still being received.
@@ -108,7 +108,7 @@
     NotConfigured,
     /// No server of the service is known.
     NoServer,
-    /// The service, or one that it needs, refuses requests of its priority.
+    /// The service, or a service that it depends on, refuses requests of the request's priority.
     Overloaded,
     /// Every server that was tried refused the request. The reason is that of the last refusal.
     AllRefused(NotRunReason),
@@ -129,7 +129,7 @@
 pub enum NextStep {
     /// Send another attempt to a server that is not excluded.
     Attempt,
-    /// Wait for another attempt that is still on its way.
+    /// Wait for another attempt that is still in progress.
     Wait,
     /// Answer the caller.
     Finish(FinalAnswer),
@@ -213,7 +213,7 @@
         self.idempotent
     }
 
-    /// Whether no attempt has ended or was hedged yet.
+    /// Whether no attempt of the request has ended and no hedge was sent yet.
     pub fn is_new(&self) -> bool {
         self.excluded.is_empty() && self.refused_by.is_empty()
     }
@@ -241,7 +241,7 @@
     }
 
     /// Records how the attempt at `server` ended, if it was not answered, and returns the next
-    /// step. `is_other_in_progress` tells whether another attempt of the request is still in
+    /// step. `is_other_in_progress` states whether another attempt of the request is still in
     /// progress. `may_retry` takes a retry from the retry budget and is called only if a retry
     /// is due.
     pub fn attempt_ended(
@@ -259,7 +259,7 @@
                 retry_after,
             } => {
                 self.note_sent(server, *offered);
-                // A server that names a retry delay is not tried again before that.
+                // A server that sent a retry delay is not tried again before the delay has passed.
                 let may_ask_again = *reason == NotRunReason::ServerRefused && retry_after.is_none();
                 self.skip_server(server, may_ask_again);
                 self.refused_attempts += 1;
@@ -308,7 +308,7 @@
         }
     }
 
-    /// The answer to the caller if the deadline has passed. `in_progress` tells whether an
+    /// The answer to the caller if the deadline has passed. `in_progress` states whether an
     /// attempt was in progress.
     pub fn timed_out(&self, in_progress: bool) -> FinalAnswer {
         if self.may_have_run || in_progress {
--- a/crates/coordination/src/mesh/mod.rs
+++ b/crates/coordination/src/mesh/mod.rs
@@ -22,7 +22,7 @@
 //!
 //! [`poison`] detects requests that crash the servers that run them.
 //!
-//! [`snapshot_store`] holds the configuration and the servers that the node was told of, and never
+//! [`snapshot_store`] holds the configuration and the servers that the node has received, and never
 //! replaces them by older ones. [`source_following`] decides what a node asks the source, and when.
 //! [`watchers`] decides which nodes ask the source on behalf of all, and [`view_freshness`] when
 //! the other nodes must ask it.
--- a/crates/coordination/src/mesh/poison/content.rs
+++ b/crates/coordination/src/mesh/poison/content.rs
@@ -51,7 +51,7 @@
 }
 
 /// Content of a request together with the service on whose machine the request started. Servers
-/// are told that service, so the same content may be handled differently for each of them.
+/// receive that service, so the same content may be handled differently for each of them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallerContent {
     /// Fingerprint of the request's content.
--- a/crates/coordination/src/mesh/poison/mod.rs
+++ b/crates/coordination/src/mesh/poison/mod.rs
@@ -1,7 +1,7 @@
 //! Requests that crash the servers that run them ("poison requests").
 //!
 //! Such a request is sent again and again, each time with a new request ID and to any node, so it
-//! can be recognized only by its content. All nodes are told of each crash and of the contents
+//! can be recognized only by its content. All nodes are notified of each crash and of the contents
 //! that were running on the crashed server. A content that was running during three crashes, and
 //! has not run successfully since, is blocked.
 //!
--- a/crates/coordination/src/mesh/poison/recent_contents.rs
+++ b/crates/coordination/src/mesh/poison/recent_contents.rs
@@ -10,9 +10,9 @@
 
 /// Minimum time for which a content is remembered; the maximum is twice as long.
 const MIN_RETENTION: Duration = SUCCESS_CLEARS_CRASHES_FOR;
-/// Maximum number of contents remembered per generation. One takes an estimated 150 bytes with
-/// one caller: 1.2 MiB in both generations. If a server runs more different contents, the frequent
-/// ones are among the first and are remembered.
+/// Maximum number of contents remembered per generation. Each content takes an estimated 150 bytes
+/// with one caller: 1.2 MiB in both generations. If a server runs more different contents, the
+/// frequent ones are among the first and are remembered.
 const MAX_CONTENTS_PER_GENERATION: usize = 4096;
 
 /// Time of the last successful run of a content, by calling service.
--- a/crates/coordination/src/mesh/poison/server_runs.rs
+++ b/crates/coordination/src/mesh/poison/server_runs.rs
@@ -1,4 +1,4 @@
-//! Requests running on the server beside a node, to find which may have caused its crash.
+//! Requests running on the local server of a node, to find which of them may have caused a crash.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::mesh::poison::content::CallerContent;
 
 /// Time after its end for which a run without a successful response is suspected if the server
-/// crashes. A server may break off a response, or lose its caller, and still crash because of that
+/// crashes. A server may interrupt a response, or lose its caller, and still crash because of that
 /// run: in recorded days 115 ms after the run's start, or 35 to 59 ms.
 const SUSPECT_AFTER_END: Duration = Duration::from_secs(1);
 
@@ -20,7 +20,7 @@
     server: InstanceId,
 }
 
-/// Runs in progress on the server beside a node, and runs that recently ended without a successful
+/// Runs in progress on the local server of a node, and runs that recently ended without a successful
 /// response.
 #[derive(Clone, Debug, Default)]
 pub struct ServerRuns {
@@ -30,7 +30,7 @@
 }
 
 impl ServerRuns {
-    /// Records that a request with this content was handed to `server`.
+    /// Records that a request with this content was sent to `server`.
     pub fn started(&mut self, run: InboundId, content: CallerContent, server: &InstanceId) {
         let server = server.clone();
         self.running.insert(run, Run { content, server });
@@ -41,7 +41,7 @@
         self.running.remove(&run);
     }
 
-    /// Records the end of a run and returns its content. `is_served` tells whether the server
+    /// Records the end of a run and returns its content. `is_served` states whether the server
     /// responded successfully.
     pub fn ended(
         &mut self,
--- a/crates/coordination/src/mesh/poison/suspects.rs
+++ b/crates/coordination/src/mesh/poison/suspects.rs
@@ -75,7 +75,7 @@
     /// Proven contents whose crashes other contents may have caused. Cached, because computing it
     /// goes through all suspects and refusing a request must be cheap.
     ambiguous: HashSet<ContentFingerprint>,
-    /// Last trial on the server beside this node, unless it ran successfully.
+    /// Last trial on the local server, unless it ran successfully.
     trial: Option<Trial>,
     digest: u64,
 }
@@ -376,7 +376,7 @@
     }
 
     /// Returns the proven contents for which fewer than [`PROVING_CRASHES`] remain without
-    /// those that other contents may have caused. They may be the cause all the same.
+    /// those that other contents may have caused. They may be the cause nevertheless.
     fn find_ambiguous_contents(&self) -> HashSet<ContentFingerprint> {
         let suspects = self.suspects.iter();
         let proven = suspects.filter(|(_, suspect)| suspect.suspicion.is_proven());
@@ -437,9 +437,9 @@
     }
 }
 
-/// Selects the server of `servers` on which a trial of `content` may run. All nodes that know the
-/// same servers select the same one, so that the number of trials doesn't grow with the number of
-/// nodes. Returns `None` if there are fewer than two servers, as the trial might crash the last
+/// Selects the server among `servers` on which a trial of `content` may run. All nodes that know
+/// the same servers select the same one, so that the number of trials doesn't grow with the number
+/// of nodes. Returns `None` if there are fewer than two servers, as the trial might crash the last
 /// server of a service.
 pub fn trial_server<'s>(
     content: &ContentFingerprint,
--- a/crates/coordination/src/mesh/poison/suspicion.rs
+++ b/crates/coordination/src/mesh/poison/suspicion.rs
@@ -7,8 +7,8 @@
 use lifthollow_state::{ServiceName, Timestamp};
 
 /// Number of crashed servers, without a successful run since the first crash, that proves that a
-/// content is the cause. With two, a harmless request that was running beside the cause on one
-/// server and was sent again would be blocked as well.
+/// content is the cause. With two, a harmless request that was running together with the cause on
+/// one server and was sent again would be blocked as well.
 pub const PROVING_CRASHES: usize = 3;
 /// Number of crashed servers from which a content that never ran successfully is taken as a
 /// possible cause of these crashes. One may be chance: a content that is requested only once is
@@ -38,7 +38,7 @@
 /// that run counts as a failed trial.
 const FIRST_BLOCK_IF_AMBIGUOUS: Duration = Duration::from_secs(12);
 /// Time after its last crash at which an unproven content is forgotten. Most such contents were
-/// running beside the cause by chance and are never requested again.
+/// running together with the cause by chance and are never requested again.
 const UNPROVEN_RETENTION: Duration = Duration::from_secs(10 * 60);
 /// Time after the end of its block at which a proven content without new crashes is forgotten.
 const RETENTION_AFTER_BLOCK: Duration = Duration::from_secs(60 * 60);
@@ -191,7 +191,7 @@
     }
 
     /// Returns how much longer the content is blocked for `caller`: zero once a trial may run, and
-    /// `None` if it isn't proven. `is_ambiguous` tells whether other contents may be the cause.
+    /// `None` if it isn't proven. `is_ambiguous` states whether other contents may be the cause.
     pub fn blocked_for(
         &self,
         caller: &ServiceName,
--- a/crates/coordination/src/mesh/processor_admission.rs
+++ b/crates/coordination/src/mesh/processor_admission.rs
@@ -28,7 +28,8 @@
 /// result is 25 attempts, which is 30 ms for the 800 attempts per second that keep a node with 0.4
 /// of a core busy.
 const TARGET_QUEUE: f64 = 2.5;
-/// Upper bound of a counted lateness. Beyond it, the process was blocked or suspended.
+/// Upper bound of a counted wake-up delay. A longer delay means that the process was blocked or
+/// suspended.
 const MAX_COUNTED_LATENESS: Duration = Duration::from_millis(500);
 /// Time constant of the exponentially decaying count of arrivals.
 const ARRIVALS_TIME_CONSTANT: Duration = Duration::from_millis(200);
@@ -91,7 +92,7 @@
         self.threshold.observe(now, occupancy);
     }
 
-    /// How much later than requested the node's thread was last woken.
+    /// Delay between the requested and the actual time at which the node's thread last woke up.
     pub fn lateness(&self) -> Duration {
         self.lateness
     }
--- a/crates/coordination/src/mesh/rate_limits/send_pace.rs
+++ b/crates/coordination/src/mesh/rate_limits/send_pace.rs
@@ -1,8 +1,8 @@
 //! Pacing of the attempts that a caller's node sends to a server with a rate limit.
 //!
-//! A node isn't told its share of the limit, because that depends on what all other nodes send. The
+//! A node doesn't know its share of the limit, because it depends on what all other nodes send. The
 //! node lengthens its send interval each time that an attempt is rejected for the limit, and
-//! shortens it a little each time that one is served.
+//! shortens the interval a little for each attempt that is served.
 
 use std::time::Duration;
 
--- a/crates/coordination/src/mesh/request_tree.rs
+++ b/crates/coordination/src/mesh/request_tree.rs
@@ -4,7 +4,7 @@
 //! refused together: they share a [`Priority`], so that every server sheds the same
 //! trees and no server works for a tree that fails elsewhere.
 //!
-//! A call doesn't name the request that it is made for. However, its node knows which
+//! A call doesn't identify the request that it is made for. However, its node knows which
 //! requests its local server runs: a call belongs to the run whose request ID is the
 //! prefix of the call's own, or else to the run that has the same deadline.
 
--- a/crates/coordination/src/mesh/retry_budget.rs
+++ b/crates/coordination/src/mesh/retry_budget.rs
@@ -11,7 +11,7 @@
 //! later, and if the last window is so by its own requests alone. Thus a burst of lost
 //! answers can use what the requests before it allow, and nothing older.
 //!
-//! A hedge (a concurrent attempt beside one that is late) may only add load: in an
+//! A hedge (a concurrent attempt while another is late) may only add load: in an
 //! overload, many attempts are late. So hedges get only a small part of the budget.
 //!
 //! A retry makes the nested calls of its run retries too. Those can't be held
@@ -59,7 +59,7 @@
 }
 
 impl RetryKind {
-    /// The part of [`FleetRetryBound::ratio`] that retries of this kind may use.
+    /// The fraction of [`FleetRetryBound::ratio`] that retries of this kind may use.
     fn share(self) -> f64 {
         match self {
             RetryKind::Request => REQUEST_SHARE,
--- a/crates/coordination/src/mesh/sent_counts.rs
+++ b/crates/coordination/src/mesh/sent_counts.rs
@@ -19,7 +19,7 @@
 /// Index of the newest of the kept buckets.
 const NEWEST: usize = KEPT_BUCKETS - 1;
 
-/// What was sent within one bucket.
+/// Numbers of requests and retries sent within one bucket.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
     requests: u32,
--- a/crates/coordination/src/mesh/server_admission.rs
+++ b/crates/coordination/src/mesh/server_admission.rs
@@ -121,7 +121,7 @@
         self.queue.note_server_start(now);
         self.health.server_started();
         let before = self.server.replace(server.clone());
-        // An entry that was missing for a while and names the same instance is not a restart.
+        // An entry that was missing for a while and contains the same instance is not a restart.
         if before.is_some_and(|before| before != *server) {
             self.notice = ServerNotice::default();
             self.queue.reset_rate_limit();
@@ -150,7 +150,7 @@
         self.queue.waits_exceeding_patience(now)
     }
 
-    /// Records that the node that sent an attempt was told this rate limit of the server.
+    /// Records that this rate limit of the server was reported to the sender of an attempt.
     pub fn note_limit_told_to_others(&mut self, now: Timestamp, limit: RequestRate) {
         self.queue.note_limit_told_to_others(now, limit);
     }
--- a/crates/coordination/src/mesh/server_health.rs
+++ b/crates/coordination/src/mesh/server_health.rs
@@ -2,7 +2,7 @@
 //!
 //! A server can fail part of its requests, for all callers or for those of one
 //! zone, while its health check succeeds. Its node sees the answers to all
-//! requests and so detects this first; callers' nodes are told the share with every
+//! requests and so detects this first; callers' nodes receive the share with every
 //! answer. Failures that are caused by a nested call don't count against the server.
 
 use std::collections::HashMap;
@@ -24,7 +24,7 @@
 /// recovered.
 const TRIAL_INTERVAL: u32 = 8;
 
-/// How a run on the server ended.
+/// Outcome of a run on the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
     /// The server answered, and the answer is not a failure.
--- a/crates/coordination/src/mesh/server_selection/service_levels.rs
+++ b/crates/coordination/src/mesh/server_selection/service_levels.rs
@@ -15,7 +15,7 @@
 /// Time in which an admission level that is no longer valid halves.
 const LEVEL_HALF_LIFE: Duration = Duration::from_millis(300);
 
-/// What this node knows of a service's load.
+/// This node's knowledge of a service's load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownLoad {
     /// The lowest admission level that any server of the service admits.
@@ -70,7 +70,7 @@
         last.map_or(AdmissionLevel::OPEN, |(level, age)| decayed(*level, *age))
     }
 
-    /// What this node knows of a service's load, for logs.
+    /// This node's knowledge of a service's load, for logs.
     pub fn known_load(&self, now: Timestamp, service: &str, purpose: Purpose) -> KnownLoad {
         let ids = self.by_service.get(service).into_iter().flatten();
         let records: Vec<&ServerRecord> = ids.filter_map(|id| self.records.get(id)).collect();
--- a/crates/coordination/src/mesh/server_suitability.rs
+++ b/crates/coordination/src/mesh/server_suitability.rs
@@ -28,7 +28,7 @@
 /// lost. It equals the share at which the server's own node refuses requests.
 const FAILING_SHARE: f64 = 0.15;
 
-/// How suitable a server is for an attempt.
+/// Suitability of a server for an attempt.
 pub(super) struct Suitability {
     /// Whether the server is in the own zone, has spare slots, is warmed up and loses few answers.
     pub(super) is_preferred: bool,
@@ -37,7 +37,7 @@
 }
 
 impl Suitability {
-    /// Rates the server for an attempt sent from `own_zone`. `may_retry` tells whether the
+    /// Rates the server for an attempt sent from `own_zone`. `may_retry` states whether the
     /// request can be retried if its answer is lost.
     pub(super) fn of(
         now: Timestamp,
--- a/crates/coordination/src/mesh/snapshot_store/change_log.rs
+++ b/crates/coordination/src/mesh/snapshot_store/change_log.rs
@@ -69,7 +69,7 @@
         self.gaps.extend(gaps);
     }
 
-    /// Whether every single change since `revision` is in the log.
+    /// Whether the log contains every change since `revision`.
     pub(super) fn is_complete_since(&self, revision: Revision) -> bool {
         let hides_changes = |gap: &Gap| gap.hides_changes_since(revision);
         !revision.is_none()
--- a/crates/coordination/src/mesh/snapshot_store/departed_servers.rs
+++ b/crates/coordination/src/mesh/snapshot_store/departed_servers.rs
@@ -15,8 +15,8 @@
 
 /// How long a server is remembered whose entry disappeared without an announcement; the time
 /// counts only from when the source became available. The entry may have expired during an outage
-/// of the source, and a live server's entry is back about two seconds after the source is. Until
-/// then requests go to the server if its service has no other.
+/// of the source, and a running server's entry reappears about two seconds after the source does.
+/// Until then requests go to the server if its service has no other.
 const VANISHED_GRACE: Duration = Duration::from_millis(2500);
 /// Default time after which an entry expires that its server does not renew.
 const ENTRY_LIFETIME: Duration = Duration::from_millis(4500);
@@ -166,7 +166,7 @@
     }
 
     /// The recently vanished servers whose entries the source lost by a restore. They stay in use
-    /// until a live server would have rewritten its entry.
+    /// until a running server would have rewritten its entry.
     pub(super) fn lost_by_restore(&self) -> impl Iterator<Item = &ServerInstance> {
         let lost = self.vanished_ready();
         let lost = lost.filter(|vanished| vanished.reason == MissingReason::LostByRestore);
--- a/crates/coordination/src/mesh/snapshot_store/mod.rs
+++ b/crates/coordination/src/mesh/snapshot_store/mod.rs
@@ -25,7 +25,7 @@
 /// The effect of applying a change to the snapshot.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Applied {
-    /// The configuration in force was replaced.
+    /// The current configuration was replaced.
     Configuration,
     /// The list of servers changed.
     Servers,
--- a/crates/coordination/src/mesh/source_following.rs
+++ b/crates/coordination/src/mesh/source_following.rs
@@ -8,10 +8,10 @@
 //!
 //! A node is in one of four states ([`FollowMode`]). It asks other nodes first. Its requests to the
 //! source after that are delayed by a random time that is rarely short ([`rarely_short_delay`]):
-//! few of many nodes send one, and these tell the others in the meantime.
+//! few of many nodes send one, and these notify the others in the meantime.
 //!
 //! A starting node knows no other node. It looks for others with a read that may be stale. Such a
-//! read only tells which nodes to ask: it makes no node ready and confirms no view.
+//! read only provides the nodes to ask: it makes no node ready and confirms no view.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 use crate::mesh::view_freshness::{self, MAX_ACCEPTED_AGE, Role};
 
 /// Mean time between two reads that look for other nodes. If no other node exists yet, the first
-/// nodes that find others tell the rest.
+/// nodes that find others notify the rest.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(2000);
 /// Mean time until the next read that looks for other nodes, after one that was not answered.
 const FAILED_SEARCH_INTERVAL: Duration = Duration::from_millis(1000);
@@ -53,7 +53,7 @@
 /// The maximum delay until the next request after errors of the source.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 /// Maximum delay until a node that learns from others sends the source another request after an
-/// error. Watchers do so sooner, and one of them tells all others when the source is back.
+/// error. Watchers do so sooner, and one of them notifies the others when the source answers again.
 const MAX_LISTENER_BACKOFF: Duration = Duration::from_millis(3000);
 /// Minimum duration of a wait; shorter ones are lengthened to it.
 const MIN_WAIT: Duration = Duration::from_millis(1);
@@ -103,7 +103,7 @@
     }
 }
 
-/// What a node does next.
+/// Next action of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowStep {
     /// Do nothing for this long.
@@ -321,7 +321,7 @@
         }
     }
 
-    /// Handles the answer to a read that looks for other nodes. `are_any` tells whether it listed
+    /// Handles the answer to a read that looks for other nodes. `are_any` states whether it listed
     /// any, and `is_chosen` whether this node is a watcher according to that list.
     pub fn on_nodes_found(
         &mut self,
--- a/crates/coordination/src/mesh/tenants/fleet_quota.rs
+++ b/crates/coordination/src/mesh/tenants/fleet_quota.rs
@@ -27,7 +27,7 @@
 /// before. Without initial tokens, the first requests would be refused although their tenant is
 /// below its limit; a whole burst at each start would add up if lenders change often.
 const INITIAL_TOKENS_TIME: Duration = Duration::from_millis(300);
-/// Fraction of the limit that a node lends while it doesn't know whether the lender before it is
+/// Fraction of the limit that a node lends while it doesn't know whether the preceding lender is
 /// gone. In the 2.5 s until it knows, that amounts to 0.63 of the tokens of one second; the excess
 /// on the users' platform is 1.5 times those of one second.
 const UNSURE_SHARE: f64 = 0.25;
--- a/crates/coordination/src/mesh/tenants/unresponsive_nodes.rs
+++ b/crates/coordination/src/mesh/tenants/unresponsive_nodes.rs
@@ -29,7 +29,7 @@
 /// Time after which a node that did not answer may be asked again.
 const ASK_AGAIN_AFTER: Duration = Duration::from_millis(300);
 
-/// Way in which a node failed to answer.
+/// Kind of failure of a node to answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// The connection was refused: no process listens at the node's address.
--- a/crates/coordination/src/mesh/view_freshness.rs
+++ b/crates/coordination/src/mesh/view_freshness.rs
@@ -37,7 +37,7 @@
 }
 
 /// Returns the minimum age at which a view is checked and the width of the random part added to it,
-/// both in milliseconds. Watchers check earlier, so that as a rule one of them saves all others the
+/// both in milliseconds. Watchers check earlier, so that usually one of them saves all others the
 /// request. The maximum of a listener must stay below the time within which a draining server has
 /// to be known everywhere.
 fn age_limits(role: Role) -> (u64, u64) {
@@ -49,7 +49,7 @@
 }
 
 /// Returns the age at which a node checks its view; `drawn` is a random number from 0 to 1. Few of
-/// many listeners get a low age, so that the first ones can tell the others.
+/// many listeners get a low age, so that the first ones can notify the others.
 pub fn age_limit(role: Role, drawn: f64) -> Duration {
     let (minimum, width) = age_limits(role);
     let fraction = match role {
--- a/crates/proxy/src/http/caller_stream.rs
+++ b/crates/proxy/src/http/caller_stream.rs
@@ -33,7 +33,7 @@
 struct Shared {
     stream: Stream,
     unconsumed: BytesMut,
-    /// Number of bytes at the front of `unconsumed` that were passed to the inspecting function.
+    /// Number of bytes at the start of `unconsumed` that were passed to the inspecting function.
     inspected: usize,
     /// Whether reading stopped because the buffer was full.
     was_full: bool,
--- a/crates/proxy/src/http/headers.rs
+++ b/crates/proxy/src/http/headers.rs
@@ -1,4 +1,4 @@
-//! Hop-by-hop headers, and the host that a request names.
+//! Hop-by-hop headers, and the target host of a request.
 
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, HOST, HeaderName, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE,
--- a/crates/proxy/src/http/pool.rs
+++ b/crates/proxy/src/http/pool.rs
@@ -66,7 +66,7 @@
     /// Only a connection that was in use within the last 100 ms, which the peer has hardly
     /// dropped since.
     Recent,
-    /// Only a new connection: pooled ones may be silent although new ones work.
+    /// Only a new connection: pooled ones may be unresponsive although new ones work.
     New,
 }
 
@@ -103,7 +103,7 @@
 }
 
 impl Pool {
-    /// Creates an empty pool that opens connections through `network` and gives up a
+    /// Creates an empty pool that opens connections through `network` and abandons a
     /// connection attempt after `connect_timeout`. Idle times are measured with `clock`.
     pub fn new(network: Rc<dyn Network>, clock: Clock, connect_timeout: Duration) -> Self {
         Pool {
@@ -134,7 +134,7 @@
         });
     }
 
-    /// Closes the idle connections to `address`. The fault that made one of them silent may
+    /// Closes the idle connections to `address`. The fault that made one of them unresponsive may
     /// affect all, and each would use up the time of a request.
     pub fn close_idle(&self, address: SocketAddrV4) {
         self.idle.borrow_mut().remove(&address);
--- a/crates/proxy/src/http/socket.rs
+++ b/crates/proxy/src/http/socket.rs
@@ -1,4 +1,4 @@
-//! TCP sockets with options that detect a silent peer.
+//! TCP sockets with options that detect an unresponsive peer.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -28,7 +28,7 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Sets the options that send small writes at once and detect a silent peer. If the system
+/// Sets the options that send small writes at once and detect an unresponsive peer. If the system
 /// refuses an option, the connection is used without it.
 pub fn prepare(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
--- a/crates/proxy/src/inbound/crash_detector.rs
+++ b/crates/proxy/src/inbound/crash_detector.rs
@@ -35,7 +35,7 @@
 /// their answers meanwhile. Resolves to true if none listens.
 type ListenCheck = Shared<LocalBoxFuture<'static, bool>>;
 
-/// Detects crashes of the server beside this node.
+/// Detects crashes of the local server.
 #[derive(Default)]
 pub struct CrashDetector {
     /// The server instance whose crash was detected last.
--- a/crates/proxy/src/inbound/in_progress.rs
+++ b/crates/proxy/src/inbound/in_progress.rs
@@ -1,5 +1,5 @@
 //! Counts the attempts of other nodes that are in progress here, by request, so that a node whose
-//! connection went silent can ask whether its attempt is still being processed.
+//! connection stopped responding can ask whether its attempt is still being processed.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
--- a/crates/proxy/src/inbound/mod.rs
+++ b/crates/proxy/src/inbound/mod.rs
@@ -1,4 +1,4 @@
-//! Attempts for the server beside this node.
+//! Attempts for the local server.
 //!
 //! - [`peer_port`]: takes the attempts and other queries of other nodes;
 //! - [`admission`]: assigns places in the queue and slots at the server;
@@ -67,9 +67,9 @@
     pub has_answer_begun: Rc<Cell<bool>>,
 }
 
-/// How an attempt ended, with the server's answer if there is one.
+/// Outcome of an attempt, with the server's answer if there is one.
 pub struct AttemptOutcome {
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     pub end: AttemptEnd,
     /// The server's answer; none if no answer arrived.
     pub response: Option<Response<ProxyBody>>,
@@ -97,7 +97,7 @@
     }
 }
 
-/// Runs an attempt on the server beside this node.
+/// Runs an attempt on the local server.
 pub async fn execute(node: &Rc<Node>, attempt: Attempt) -> AttemptOutcome {
     let logged = LoggedAttempt::of(node, &attempt);
     let outcome = admit_and_run(node, attempt).await;
@@ -108,7 +108,7 @@
     outcome
 }
 
-/// What is logged about an attempt that the server did not answer.
+/// Data for the log message about an attempt that the server did not answer.
 struct LoggedAttempt {
     request_id: String,
     content: CallerContent,
@@ -166,7 +166,7 @@
     if let Some(refused) = refuse_server_crashing(node, &attempt) {
         return refused;
     }
-    // The caller's node must time out first, since it decides what the caller is told.
+    // The caller's node must time out first, since it decides on the answer to the caller.
     let timeout_end = node
         .clock
         .instant(attempt.deadline + SERVER_TIMEOUT_MARGIN)
--- a/crates/proxy/src/inbound/peer_port.rs
+++ b/crates/proxy/src/inbound/peer_port.rs
@@ -22,7 +22,7 @@
 
 /// Request bodies up to this size, in bytes, are buffered whole before they go to the server.
 const MAX_BUFFERED_REQUEST_BYTES: usize = 256 * 1024;
-/// Time limit of an attempt whose headers name no deadline.
+/// Time limit of an attempt whose headers contain no deadline.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
 /// Handler of the port that other nodes connect to.
--- a/crates/proxy/src/inbound/server_notice.rs
+++ b/crates/proxy/src/inbound/server_notice.rs
@@ -1,4 +1,4 @@
-//! Reads, logs and counts what the server beside this node reports about itself in its answers:
+//! Reads, logs and counts what the local server reports about itself in its answers:
 //! its request rate limit, and whether it is leaving.
 
 use std::cell::RefCell;
@@ -18,7 +18,7 @@
 /// once. Once the memory is full, further values are not logged.
 const MAX_REMEMBERED_INVALID_LIMITS: usize = 32;
 
-/// What has been logged about the notices of the server beside this node.
+/// Log state for the notices of the local server.
 #[derive(Default)]
 pub struct NoticeLog {
     /// The server's notice that was logged last.
--- a/crates/proxy/src/inbound/server_run.rs
+++ b/crates/proxy/src/inbound/server_run.rs
@@ -1,4 +1,4 @@
-//! Sends an attempt to the server beside this node and classifies the server's answer.
+//! Sends an attempt to the local server and classifies the server's answer.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 use crate::peer_headers;
 
 /// Answers up to this size, in bytes, are buffered whole before any part is forwarded, so that
-/// the attempt can still be retried at another server if the answer breaks off.
+/// the attempt can still be retried at another server if the answer is interrupted.
 const MAX_BUFFERED_ANSWER_BYTES: usize = 256 * 1024;
 
 /// Sends an admitted attempt to the server and reads the server's answer.
@@ -43,7 +43,7 @@
     };
     let connections = &node.server_connections;
     if node.is_own_server_silent() {
-        // The idle connections may be silent rather than the server. With twelve silent
+        // The idle connections may be unresponsive rather than the server. With twelve unresponsive
         // connections tried one after another, requests were answered again after 4.6 s; on a
         // new connection, within 1.5 s (test `silent_connections`).
         connections.close_idle(node.settings.server_address);
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,14 +1,14 @@
 //! The proxy process of a service mesh: takes requests from local callers, sends them to the nodes
-//! beside servers, and forwards requests of other nodes to the server beside it.
+//! beside servers, and forwards requests of other nodes to its local server (the one beside it).
 //!
 //! Everything runs on one thread, because the machines have one core: no other thread has to be woken
 //! for a request. Decisions are made in [`lifthollow_coordination::mesh`]; this crate carries them
 //! out.
 //!
 //! - [`outbound`]: requests of local callers, to any service;
-//! - [`inbound`]: attempts of other nodes, for the server beside this node;
+//! - [`inbound`]: attempts of other nodes, for the local server;
 //! - [`node`]: the state that both share;
-//! - [`probe`]: probes of servers that fell silent, until they answer again;
+//! - [`probe`]: probes of servers that stopped responding, until they answer again;
 //! - [`source`]: queries to the source of configuration and servers;
 //! - [`snapshots`]: changes of configuration and servers, from the source or from other nodes;
 //! - [`suspects`]: requests that may crash servers, and the exchange of reports about them;
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -17,17 +17,17 @@
     pub requests: IntCounterVec,
     /// Time from a request's arrival to its answer.
     pub request_duration: Histogram,
-    /// Attempts for the server beside this node, by how they ended.
+    /// Attempts for the local server, by how they ended.
     pub attempts: IntCounterVec,
-    /// Time that the server beside this node took to answer.
+    /// Time that the local server took to answer.
     pub server_duration: Histogram,
-    /// Requests that reached the server beside this node.
+    /// Requests that reached the local server.
     pub server_requests: IntCounter,
-    /// What the server beside this node reports about itself in its answers.
+    /// What the local server reports about itself in its answers.
     pub server_notice: ServerNoticeMetrics,
     /// Attempts that were retries.
     pub retries: IntCounter,
-    /// Crashes of the server beside this node.
+    /// Crashes of the local server.
     pub server_crashes: IntCounter,
     /// Number of request contents that are suspected or proven to crash servers.
     pub suspects: IntGaugeVec,
@@ -44,15 +44,15 @@
     pub changes: IntCounterVec,
     /// Calls to the source, by what they are for.
     pub source_calls: IntCounterVec,
-    /// Requests running at and waiting for the server beside this node, and its concurrency limit.
+    /// Requests running at and waiting for the local server, and its concurrency limit.
     pub load: IntGaugeVec,
-    /// Number of connections opened, to the server beside this node and to other nodes.
+    /// Number of connections opened, to the local server and to other nodes.
     pub connections: IntGaugeVec,
     /// Log lines left out by the rate limit of the log.
     pub log_lines_left_out: IntCounter,
 }
 
-/// Metrics of what the server beside this node reports about itself in its answers.
+/// Metrics of what the local server reports about itself in its answers.
 pub struct ServerNoticeMetrics {
     /// Rate limit that the server announces, in requests a second; [`NO_LIMIT`] if it announces none.
     pub limit: Gauge,
--- a/crates/proxy/src/node/mod.rs
+++ b/crates/proxy/src/node/mod.rs
@@ -47,7 +47,7 @@
 
 /// Timeout for opening a connection to another node.
 const PEER_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Timeout for opening a connection to the server beside this node.
+/// Timeout for opening a connection to the local server.
 const SERVER_CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Number of requests that may run at the server at the same time before its slots are known.
 const DEFAULT_SERVER_SLOTS: u32 = 16;
@@ -71,21 +71,21 @@
     pub zone_watchers: Vec<SocketAddrV4>,
     /// Servers that are new to this node, whose nodes are still to be notified of the snapshot.
     pub newcomers: Vec<SocketAddrV4>,
-    /// The routes in force; none before the first configuration has arrived.
+    /// The current routes; none before the first configuration has arrived.
     pub routes: Option<Arc<RouteTable>>,
     /// Chooses a service for each request on a route that is split over several services.
     pub split: WeightedSplit,
     /// The servers that requests may be sent to, with what is known of their load and failures.
     pub servers: ServerPool,
-    /// The server beside this node; none if the snapshot contains none.
+    /// The local server; none if the snapshot contains none.
     pub own_server: Option<InstanceId>,
     /// The budgets of retried and hedged attempts that this node may send.
     pub budgets: RetryBudgets,
-    /// Admission of attempts to the server beside this node.
+    /// Admission of attempts to the local server.
     pub admission: ServerAdmission,
-    /// The requests that run at the server beside this node, to be reported if it crashes.
+    /// The requests that run at the local server, to be reported if it crashes.
     pub server_runs: ServerRuns,
-    /// Contents of requests that the server beside this node recently ran successfully.
+    /// Contents of requests that the local server recently ran successfully.
     pub recent_successful_runs: RecentContents,
     /// Reports about requests that may crash servers.
     pub suspects: Suspects,
@@ -125,7 +125,7 @@
     Serving,
     /// The node reports that it is not ready, but still serves everything as before.
     Announced,
-    /// No new attempts are accepted for the server beside this node.
+    /// No new attempts are accepted for the local server.
     Draining,
 }
 
@@ -141,15 +141,15 @@
     pub network: Rc<dyn Network>,
     /// The traffic decisions, with the state that they depend on.
     pub state: RefCell<TrafficState>,
-    /// Connections to the server beside this node.
+    /// Connections to the local server.
     pub server_connections: Pool,
     /// Connections to other nodes.
     pub peer_connections: Pool,
     /// Attempts of other nodes that are in progress here.
     pub attempts_in_progress: AttemptsInProgress,
-    /// Detects crashes of the server beside this node.
+    /// Detects crashes of the local server.
     pub crash_detector: CrashDetector,
-    /// What has been logged about the notices of the server beside this node.
+    /// Log state for the notices of the local server.
     pub notice_log: NoticeLog,
     /// The state of the exchange of reports about requests that crash servers.
     pub report_exchange: ReportExchange,
@@ -161,9 +161,9 @@
     pub log_rate_limit: LogRateLimit,
     /// The progress of a planned stop.
     pub phase: Cell<Phase>,
-    /// Whether the server beside this node was last found to fail its requests.
+    /// Whether the local server was last found to fail its requests.
     pub is_server_failing: Cell<bool>,
-    /// The address at which this node takes messages of other nodes, as a header value.
+    /// The address at which this node receives messages from other nodes, as a header value.
     pub own_address: HeaderValue,
     /// The encoded snapshot that is sent to other nodes, with its version; none before the first use.
     pub encoded_snapshot: RefCell<Option<(SnapshotVersion, Bytes)>>,
@@ -243,7 +243,7 @@
         self.phase.get() == Phase::Serving && self.state.borrow().routes.is_some()
     }
 
-    /// Whether new attempts for the server beside this node are accepted.
+    /// Whether new attempts for the local server are accepted.
     pub fn takes_attempts(&self) -> bool {
         self.phase.get() != Phase::Draining
     }
@@ -269,7 +269,7 @@
         state.watchers.is_empty() || state.watchers.contains(&self.settings.server_address)
     }
 
-    /// Whether the node that takes messages at `address` watches the source.
+    /// Whether the node that receives messages at `address` watches the source.
     pub fn is_other_watcher(&self, address: SocketAddrV4) -> bool {
         let state = self.state.borrow();
         let mut watchers = state.watchers.iter();
--- a/crates/proxy/src/node/own_server.rs
+++ b/crates/proxy/src/node/own_server.rs
@@ -13,17 +13,17 @@
 use super::{Node, TrafficState};
 
 impl Node {
-    /// The address at which the node beside `server` takes messages of other nodes.
+    /// The address at which the node of `server` receives messages from other nodes.
     pub fn node_beside(&self, server: &ServerInstance) -> SocketAddrV4 {
         self.beside(server.address)
     }
 
-    /// The address at which the node beside the server at `server` takes messages of other nodes.
+    /// The address at which the node of the server at `server` receives messages from other nodes.
     pub fn beside(&self, server: SocketAddrV4) -> SocketAddrV4 {
         SocketAddrV4::new(*server.ip(), self.settings.inbound.port())
     }
 
-    /// Whether `server` is the server beside this node.
+    /// Whether `server` is the local server.
     pub fn is_beside(&self, server: &ServerInstance) -> bool {
         server.address == self.settings.server_address
     }
@@ -44,17 +44,18 @@
         (!known.instance.is_ready()).then_some(NotRunReason::ServerDraining)
     }
 
-    /// Returns the identifier of server `id` with the start of the server that this node knows.
-    /// Messages to nodes and servers carry only the server's identity: an attempt that was meant for
-    /// the server's previous start runs at the present one. That is safe, since the attempt has not
-    /// reached a server yet.
+    /// Returns server `id` with the start time that this node knows for the server.
+    ///
+    /// Messages to nodes and servers carry only the server's identity: an attempt that was meant
+    /// for the server's previous process runs at its current one. That is safe, since the attempt
+    /// has not reached a server yet.
     pub fn known_instance(&self, id: InstanceId) -> InstanceId {
         let state = self.state.borrow();
         let known = state.snapshots.snapshot().server(&id);
         known.map_or(id, |known| known.instance.id.clone())
     }
 
-    /// Whether a server is leaving, according to the source or, for the server beside this node, to its
+    /// Whether a server is leaving, according to the source or, for the local server, to its
     /// answers.
     pub fn is_leaving(&self, id: &InstanceId) -> bool {
         let state = self.state.borrow();
@@ -63,12 +64,12 @@
         leaves_by_source || state.admission.is_leaving(id)
     }
 
-    /// Whether the server beside this node has stopped answering.
+    /// Whether the local server has stopped answering.
     pub fn is_own_server_silent(&self) -> bool {
         self.state.borrow().admission.is_unresponsive(self.now())
     }
 
-    /// The load of the server beside this node, as reported to callers' nodes. `zone` is the zone of
+    /// The load of the local server, as reported to callers' nodes. `zone` is the zone of
     /// the node that it is reported to.
     pub fn own_load(&self, is_nested: bool, zone: &str) -> ReportedLoad {
         let now = self.now();
--- a/crates/proxy/src/node/refresh.rs
+++ b/crates/proxy/src/node/refresh.rs
@@ -86,7 +86,7 @@
             .filter(|id| state.own_server.as_ref() != Some(id))
         {
             state.admission.server_started(self.now(), own_id);
-            // Connections to the previous start of the server are closed; each would make a request
+            // Connections to the server's previous process are closed; each would make a request
             // fail.
             self.server_connections
                 .close_idle(self.settings.server_address);
--- a/crates/proxy/src/outbound/attempts.rs
+++ b/crates/proxy/src/outbound/attempts.rs
@@ -1,5 +1,5 @@
-//! Sends the attempts of one request: one after another, or a hedge beside an attempt whose server
-//! or connection is silent.
+//! Sends the attempts of one request: one after another, or a hedge in parallel to an attempt whose
+//! server or connection is unresponsive.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -45,7 +45,7 @@
 type PendingAttempt<'a> = Pin<Box<dyn Future<Output = (ServerInstance, AttemptOutcome)> + 'a>>;
 
 /// Sends attempts until one is answered or no further one is possible. An attempt whose server
-/// falls silent is not cancelled: if the server's node does not answer a probe, or has no such
+/// stops responding is not cancelled: if the server's node does not answer a probe, or has no such
 /// attempt, a second attempt is sent in parallel (a hedge).
 pub(super) async fn run_attempts(
     node: &Rc<Node>,
@@ -112,24 +112,24 @@
     }
 }
 
-/// What a check of an attempt whose answer is late found.
+/// Result of the check of an attempt whose answer is late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Finding {
     /// The attempt may still be answered.
     InProgress,
     /// The attempt's server loses answers, or the server or its node does not respond.
     ServerUnresponsive,
-    /// The connection that the attempt was sent on is silent.
+    /// The connection that the attempt was sent on is unresponsive.
     ConnectionSilent,
 }
 
-/// Checks an attempt in flight for a server or connection that has fallen silent.
+/// Checks whether the server or the connection of an attempt in progress has stopped responding.
 struct AttemptWatch {
     server: ServerInstance,
     sent: Timestamp,
     /// When the attempt is checked next.
     next_check: Timestamp,
-    /// How long the server may be silent before the attempt is checked.
+    /// How long the server may take to answer before the attempt is checked.
     response_timeout: Duration,
     is_nested: bool,
     has_answer_begun: Rc<Cell<bool>>,
--- a/crates/proxy/src/outbound/mod.rs
+++ b/crates/proxy/src/outbound/mod.rs
@@ -1,8 +1,8 @@
 //! Routes, sends and answers the requests of local callers.
 //!
 //! - [`request`]: finds a request's route and its place in the call tree, and reads its body;
-//! - [`attempts`]: sends attempts one after another, or in parallel if a server is silent;
-//! - [`send`]: sends one attempt to the server beside this node or to another node;
+//! - [`attempts`]: sends attempts one after another, or in parallel if a server is unresponsive;
+//! - [`send`]: sends one attempt to the local server or to another node;
 //! - [`answer`]: answers the caller when no server's answer is forwarded.
 
 mod answer;
@@ -39,8 +39,8 @@
 /// Time after which callers may retry if this node's view is too old to check their key: nodes
 /// ask for a fresh view several times a second.
 const VIEW_TOO_OLD_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// The shortest time after which callers refused for overload are asked to retry. The time they are
-/// told is drawn between once and twice this.
+/// Minimum time after which callers refused for overload are asked to retry. Each caller's time
+/// is drawn at random between once and twice this.
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// Handler of the port that local callers connect to.
--- a/crates/proxy/src/outbound/request.rs
+++ b/crates/proxy/src/outbound/request.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// A nested call in progress, made by a run on the server beside this node. Dropping it reports the
+/// A nested call in progress, made by a run on the local server. Dropping it reports the
 /// end of the call.
 pub(super) struct NestedCall {
     node: Rc<Node>,
@@ -97,8 +97,8 @@
     }
 }
 
-/// Places a request in the call tree: as the root of a new tree, or as a nested call of a run on the
-/// server beside this node.
+/// Places a request in the call tree: as the root of a new tree, or as a nested call of a run on
+/// the local server.
 pub(super) fn place_in_tree(
     node: &Rc<Node>,
     head: &Parts,
--- a/crates/proxy/src/outbound/send.rs
+++ b/crates/proxy/src/outbound/send.rs
@@ -1,4 +1,4 @@
-//! Sends one attempt: to the server beside this node, or to the node beside another server.
+//! Sends one attempt: to the local server, or to the node beside another server.
 
 use std::rc::Rc;
 
@@ -21,7 +21,7 @@
 const MAX_BUFFERED_ANSWER_BYTES: usize = 256 * 1024;
 
 /// Builds the request that is sent to a server: the caller's request with `body`, and with headers
-/// that name the calling service, the tenant and the server instance that is meant.
+/// for the calling service, the tenant and the server instance that is meant.
 pub(super) fn outgoing_request(
     node: &Rc<Node>,
     request: &RoutedRequest,
--- a/crates/proxy/src/peer_client.rs
+++ b/crates/proxy/src/peer_client.rs
@@ -17,7 +17,7 @@
 /// The largest answer that is read, in bytes; the largest answers are whole snapshots.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
-/// Why a query to another node failed.
+/// Reason why a query to another node failed.
 #[derive(Debug, Error)]
 pub(crate) enum FetchError {
     #[error("{0}")]
--- a/crates/proxy/src/peer_headers.rs
+++ b/crates/proxy/src/peer_headers.rs
@@ -39,7 +39,7 @@
 pub const VIEW: HeaderName = HeaderName::from_static("lifthollow-view");
 /// Digest of the sender's reports about requests that may crash servers; missing if it has none.
 pub const SUSPECTS: HeaderName = HeaderName::from_static("lifthollow-suspects");
-/// The address at which the sender takes messages of other nodes.
+/// The address at which the sender receives messages from other nodes.
 pub const NODE: HeaderName = HeaderName::from_static("lifthollow-node");
 /// In a probe: the identifier of the request that the sender waits for. In the answer to a probe:
 /// [`IN_PROGRESS`] or [`NOT_IN_PROGRESS`].
@@ -333,8 +333,8 @@
     (place, terms)
 }
 
-/// Parses [`NODE`], the address at which the sender of a message takes messages of other nodes; none
-/// if it is missing or malformed.
+/// Parses [`NODE`], the address at which the sender of a message receives messages from other
+/// nodes; none if it is missing or malformed.
 pub fn sender(headers: &HeaderMap) -> Option<SocketAddrV4> {
     headers.get(NODE)?.to_str().ok()?.parse().ok()
 }
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probes a server that fell silent, through the node beside it, and excludes it from selection until
+//! Probes a server that stopped responding, through its node, and excludes it from selection until
 //! it answers again.
 
 use std::rc::Rc;
@@ -30,7 +30,7 @@
     /// The node answers and its server is available.
     Alive,
     /// The node answers and its server is available, but the node has no attempt of the named request
-    /// in progress: the attempt never arrived, or its answer was sent on a connection that is silent.
+    /// in progress: the attempt never arrived, or its answer was sent on an unresponsive connection.
     AttemptNotFound,
 }
 
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -31,7 +31,7 @@
 /// How long callers are still served after a planned stop began: by then the platform has noticed
 /// that the node is not ready.
 const CALLERS_SERVED_AFTER_STOP: Duration = Duration::from_millis(2600);
-/// How long attempts for the server beside this node are still accepted after a planned stop began.
+/// How long attempts for the local server are still accepted after a planned stop began.
 const ATTEMPTS_ACCEPTED_AFTER_STOP: Duration = Duration::from_millis(1800);
 /// Part of the time allowed for a planned stop that is kept in reserve.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
@@ -139,7 +139,7 @@
 
 impl Running {
     /// Stops the process as planned. Until the platform has noticed that the node is not ready,
-    /// everything is served as before, so that the server beside this node is not idle. After that,
+    /// everything is served as before, so that the local server is not idle. After that,
     /// attempts for the server are refused, and requests in progress are finished.
     pub async fn stop(self) {
         let Running {
@@ -210,7 +210,7 @@
     }
 }
 
-/// Logs when the server beside this node begins to fail its requests, and when it serves them again.
+/// Logs when the local server begins to fail its requests, and when it serves them again.
 fn log_server_health(node: &Rc<Node>) {
     let state = node.state.borrow();
     let failing = state.admission.failing_zone(node.now());
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -34,6 +34,6 @@
     pub max_view_age_for_keys: Option<MaxViewAge>,
     /// How far all nodes together may exceed a tenant's rate limit.
     pub quota_tolerance: QuotaTolerance,
-    /// How long a planned stop may take.
+    /// Maximum duration of a planned stop.
     pub stop_grace: Duration,
 }
--- a/crates/proxy/src/snapshots/mod.rs
+++ b/crates/proxy/src/snapshots/mod.rs
@@ -169,8 +169,8 @@
     }
 }
 
-/// Fetches what this node lacks from the node at `from`, if the headers of its message name a newer
-/// snapshot or a different digest of reports about requests that crash servers.
+/// Fetches what this node lacks from the node at `from`, if the headers of its message contain a
+/// newer snapshot or a different digest of reports about requests that crash servers.
 pub fn fetch_if_newer(node: &Rc<Node>, headers: &HeaderMap, from: SocketAddrV4) {
     exchange::fetch_if_digest_differs(node, headers, from);
     let Some(their_version) = peer_headers::snapshot_version(headers) else {
--- a/crates/proxy/src/source/watching.rs
+++ b/crates/proxy/src/source/watching.rs
@@ -13,7 +13,7 @@
 use super::{Changes, Source, SourceError, SourceFollower};
 
 /// Range from which the wait time of each watch is drawn, in milliseconds. The times differ between
-/// nodes, so that some node soon receives changes after the source was silent.
+/// nodes, so that some node soon receives changes after the source was unresponsive.
 const WATCH_WAIT_MS: std::ops::Range<u64> = 5_000..12_000;
 /// Wait time of a watch after the source was lost and until it has answered again.
 const RETRY_WATCH_WAIT: Duration = Duration::from_millis(200);
--- a/crates/proxy/src/suspects/exchange.rs
+++ b/crates/proxy/src/suspects/exchange.rs
@@ -24,8 +24,8 @@
 use crate::peer_headers;
 use crate::suspects::{clear_successfully_run_contents, log_changes};
 
-/// How many nodes a crash is announced to at once. Each node that learns of it announces it to as
-/// many others: of 300 nodes this reaches all but about 5% (1/e³), the rest with their next
+/// Number of nodes that a crash is announced to at once. Each node that learns of it announces it
+/// to as many others: of 300 nodes this reaches all but about 5% (1/e³), the rest with their next
 /// message.
 const FAN_OUT: usize = 3;
 /// Timeout of a fetch of another node's reports.
--- a/crates/proxy/src/suspects/mod.rs
+++ b/crates/proxy/src/suspects/mod.rs
@@ -17,7 +17,7 @@
 use crate::node::{Node, TrafficState};
 use crate::suspects::exchange::announce;
 
-/// Records that the server beside this node crashed while it ran requests with these contents.
+/// Records that the local server crashed while it ran requests with these contents.
 pub(crate) fn record_own_crash(node: &Rc<Node>, server: &InstanceId, contents: &[CallerContent]) {
     let now = node.now();
     let is_new = {
@@ -44,7 +44,7 @@
     log_changes(node, "attempt");
 }
 
-/// Records that the server beside this node ran a request with `content` to its end.
+/// Records that the local server ran a request with `content` to its end.
 pub(crate) fn record_successful_run(
     state: &mut TrafficState,
     now: Timestamp,
@@ -56,8 +56,8 @@
         .record_successful_run(now, content);
 }
 
-/// Counts recent successful runs of `contents` at the server beside this node against the suspicion
-/// that they cause crashes. Runs for other callers count too: they tell whether the content or its
+/// Counts recent successful runs of `contents` at the local server against the suspicion
+/// that they cause crashes. Runs for other callers count too: they show whether the content or its
 /// caller is the cause.
 fn clear_successfully_run_contents(
     state: &mut TrafficState,
--- a/crates/proxy/src/suspects/permission.rs
+++ b/crates/proxy/src/suspects/permission.rs
@@ -16,8 +16,8 @@
 /// Time after which callers may retry a request that needs a trial run, but whose service has too
 /// few servers for one.
 const SINGLE_SERVER_RETRY_AFTER: Duration = Duration::from_secs(30);
-/// Time after which callers may retry a request while a trial is under way, or if its trial must run
-/// at another server: by then that trial is over and [`MIN_TRIAL_INTERVAL`] has passed.
+/// Time after which callers may retry a request while a trial is in progress, or if its trial must
+/// run at another server: by then that trial is over and [`MIN_TRIAL_INTERVAL`] has passed.
 const ONGOING_TRIAL_RETRY_AFTER: Duration = MIN_TRIAL_INTERVAL;
 
 /// Where a request may run.
@@ -25,7 +25,8 @@
 pub(crate) enum Permission {
     /// The request may run at every server of its service.
     Anywhere,
-    /// The request may run only at this server, as a trial whether it still crashes servers.
+    /// The request may run only at this server, as a trial that shows whether it still crashes
+    /// servers.
     Only(InstanceId),
     /// The request may run nowhere for this time.
     Blocked(Duration),
@@ -62,8 +63,8 @@
     }
 }
 
-/// Checks whether an attempt may run at the server beside this node, and begins a trial if it needs
-/// one. Returns none if it may run, or else for how long it is refused.
+/// Checks whether an attempt may run at the local server, and begins a trial if it needs
+/// one. Returns `None` if the attempt may run, or the time for which it is refused otherwise.
 pub(crate) fn refuse_or_begin_trial(
     node: &Rc<Node>,
     server: &InstanceId,
--- a/crates/proxy/src/tenants/identity.rs
+++ b/crates/proxy/src/tenants/identity.rs
@@ -36,7 +36,7 @@
         .keys
         .authenticate(route, key, view_age, max_view_age);
     match identified {
-        // Nested calls of runs on the server beside this node carry no key.
+        // Nested calls of runs on the local server carry no key.
         Err(Denial::NoKey) if is_call_of_run(node, &state.admission, headers) => Ok(None),
         other => other,
     }
--- a/crates/proxy/src/wire_names.rs
+++ b/crates/proxy/src/wire_names.rs
@@ -13,7 +13,7 @@
     pub deadline_ms: HeaderName,
     /// Header with a server's signature, which proves that an answer is its own.
     pub signature: HeaderName,
-    /// Header that names the only server instance that may run the request.
+    /// Header that identifies the only server instance that may run the request.
     pub expected_instance: HeaderName,
     /// Header of a server's answer that says that the server has not run the request.
     pub not_run: HeaderName,
@@ -25,9 +25,9 @@
     pub server_leaving: HeaderName,
     /// Value of [`WireNames::server_leaving`] if the server is leaving.
     pub leaving_value: &'static str,
-    /// Header that names the service of the calling machine.
+    /// Header that contains the service of the calling machine.
     pub caller_service: HeaderName,
-    /// Header that tells a server the tenant of the request.
+    /// Header that passes the tenant of a request to the server.
     pub tenant: HeaderName,
     /// Header with a caller's tenant key, preceded by [`WireNames::key_scheme`] and a space.
     pub authorization: HeaderName,
