--- a/crates/coordination/src/mesh/poison/server_runs.rs
+++ b/crates/coordination/src/mesh/poison/server_runs.rs
@@ -20,8 +20,8 @@
     server: InstanceId,
 }
 
-/// Runs in progress on the local server of a node, and runs that recently ended without a successful
-/// response.
+/// Runs in progress on the local server of a node, and runs that recently ended without a
+/// successful response.
 #[derive(Clone, Debug, Default)]
 pub struct ServerRuns {
     running: HashMap<InboundId, Run>,
