--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -62,10 +62,10 @@
 /// Probes the node beside `server` on a new connection: whether it answers and finds its server
 /// available, and whether it has an attempt of the request `waiting_for` in progress.
 ///
-/// On a reused connection, or without `waiting_for`, a probe could not distinguish an
-/// unresponsive connection from a long run. Without this distinction, after all pooled connections
-/// had stopped responding, a request that may be repeated was answered with 504 at its timeout of 2 s; with it, the
-/// request is served within 1 s (test `silent_connections` on real processes).
+/// On a reused connection, or without `waiting_for`, a probe could not distinguish an unresponsive
+/// connection from a long run. Without this distinction, after all pooled connections had stopped
+/// responding, a request that may be repeated was answered with 504 at its timeout of 2 s; with it,
+/// the request is served within 1 s (test `silent_connections` on real processes).
 pub async fn send_probe(
     node: &Rc<Node>,
     server: &ServerInstance,
