--- a/crates/coordination/src/claims/claimant.rs
+++ b/crates/coordination/src/claims/claimant.rs
@@ -18,7 +18,7 @@
 use super::tally::{Count, Tally};
 use crate::inbound::InboundId;
 
-/// Time after which a claim that has no majority is given up.
+/// Time after which a claim that has no majority is abandoned.
 pub const CLAIM_TIMEOUT: Duration = Duration::from_millis(500);
 const RESEND_INTERVAL: Duration = Duration::from_millis(60);
 /// Maximum number of rounds for one call if concurrent claims on its key split the
@@ -73,7 +73,7 @@
         self.pending.len()
     }
 
-    /// When [`Claimant::wake`] must be called next.
+    /// Time at which [`Claimant::wake`] must be called next.
     pub fn next_wake(&self) -> Option<Timestamp> {
         let claims = self
             .pending
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Resends due messages, begins due rounds and gives up claims that timed out.
+    /// Resends due messages, begins due rounds and abandons claims that timed out.
     pub fn wake(&mut self, now: Timestamp, roster: &Roster, effects: &mut Vec<ClaimantEffect>) {
         let resent = self.deliveries.wake(now);
         effects.extend(resent.into_iter().map(ClaimantEffect::Send));
@@ -259,7 +259,7 @@
 
     /// Releases a claim that cannot reach a majority and waits for a random time before
     /// the next round, in case concurrent claims split the votes. If no replica reported
-    /// a holder, waiting cannot help and the claim is given up.
+    /// a holder, waiting cannot help and the claim is abandoned.
     fn back_off(&mut self, now: Timestamp, id: InboundId, effects: &mut Vec<ClaimantEffect>) {
         let wait = Duration::from_millis(
             self.random
--- a/crates/coordination/src/claims/decision.rs
+++ b/crates/coordination/src/claims/decision.rs
@@ -5,7 +5,7 @@
 use lifthollow_protocol::{AttemptResult, RecordedAnswer, RecordedOutcome, RefusalReason};
 use lifthollow_state::{IdempotencyKey, Timestamp};
 
-/// Time after which a caller is told to retry if too few replicas granted its claim
+/// `retry_after` time in the answer to a caller if too few replicas granted its claim
 /// and none of them abstained.
 pub const NO_QUORUM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
@@ -16,7 +16,7 @@
     pub key: IdempotencyKey,
     /// Digest of the method, path and body of the call.
     pub body_digest: u64,
-    /// When the caller stops waiting for the call.
+    /// Time at which the caller stops waiting for the call.
     pub deadline: Timestamp,
 }
 
--- a/crates/coordination/src/claims/gate.rs
+++ b/crates/coordination/src/claims/gate.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Reports what this node's replica knows of a key; `None` before the first event.
+    /// Reports the record of this node's replica for a key; `None` before the first event.
     pub fn report(&self, now: Timestamp, key: IdempotencyKey) -> Option<KeyReport> {
         Some(self.claims.as_ref()?.report(now, key))
     }
--- a/crates/coordination/src/claims/handover.rs
+++ b/crates/coordination/src/claims/handover.rs
@@ -5,7 +5,7 @@
 //!
 //! - The stopping replica does not vote any more once the other member is ready.
 //! - The handover is valid for a short time from the moment at which the other member
-//!   became ready, when the stopping process was still alive. A process that rejoins
+//!   became ready, when the stopping process was still running. A process that rejoins
 //!   without a handover waits for longer than that, so no later process can read records
 //!   that are outdated by votes of an earlier one.
 //! - Only one process may read the records of a handover.
--- a/crates/coordination/src/claims/mod.rs
+++ b/crates/coordination/src/claims/mod.rs
@@ -53,7 +53,7 @@
     RunEnded {
         /// The call that has ended.
         id: InboundId,
-        /// How the run of the call ended.
+        /// Outcome of the run of the call.
         end: RunEnd,
     },
     /// A message was received.
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Reports what this node's replica knows of a key.
+    /// Reports the record of this node's replica for a key.
     pub fn report(&self, now: Timestamp, key: IdempotencyKey) -> KeyReport {
         self.replica.report(now, key)
     }
--- a/crates/coordination/src/claims/pending.rs
+++ b/crates/coordination/src/claims/pending.rs
@@ -74,7 +74,7 @@
 }
 
 impl GrantedClaim {
-    /// The message that tells the replicas how the run ended.
+    /// The message that reports the end of the run to the replicas.
     pub(super) fn end_message(&self, end: RunEnd) -> ClaimMessage {
         match end {
             RunEnd::NotStarted => release_message(self.key, self.claim),
--- a/crates/coordination/src/claims/rejoin.rs
+++ b/crates/coordination/src/claims/rejoin.rs
@@ -1,5 +1,5 @@
-//! Recovery of a replaced replica: it learns which claims its predecessor may have
-//! voted for.
+//! Recovery of a replaced replica: reads from other members the claims that its
+//! predecessor may have voted for.
 //!
 //! A claim counts votes only within its start window. Once that time has passed since
 //! the replica's start, each claim that counted the predecessor's vote has its majority,
@@ -55,7 +55,8 @@
 }
 
 impl Rejoin {
-    /// Starts to read from `members`; before `starts_at` only handed-over records.
+    /// Starts to read from `members`; before `starts_at`, only handed-over records are
+    /// read.
     pub fn new(
         node: NodeId,
         incarnation: Incarnation,
--- a/crates/coordination/src/claims/replica/mod.rs
+++ b/crates/coordination/src/claims/replica/mod.rs
@@ -25,7 +25,7 @@
     pub message: ClaimMessage,
 }
 
-/// What one replica knows of a key, for operators.
+/// Report for operators on one replica's record for a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyReport {
     /// Whether this node may vote on the key now.
@@ -205,7 +205,7 @@
         true
     }
 
-    /// Reports what this replica knows of a key.
+    /// Reports this replica's record for a key.
     pub fn report(&self, now: Timestamp, key: IdempotencyKey) -> KeyReport {
         let replicas = ReplicaSets::of(&self.roster, key);
         KeyReport {
--- a/crates/coordination/src/claims/settings.rs
+++ b/crates/coordination/src/claims/settings.rs
@@ -25,8 +25,8 @@
     pub lifetime: Duration,
     /// Maximum time from the first sending of a claim to the start of its run.
     pub start_window: Duration,
-    /// How long the records of a replica that stopped as planned are kept for the
-    /// process that replaces it.
+    /// Time for which the records of a replica that stopped as planned are kept for
+    /// the process that replaces it.
     pub handover_validity: Duration,
     /// Whether this replica votes immediately, because no process of this roster held
     /// claims before. Must only be true for the very first start of a fleet.
@@ -58,14 +58,14 @@
         }
     }
 
-    /// How long a replica keeps a record by its own clock: the lifetime and the start
+    /// Time for which a replica keeps a record by its own clock: the lifetime and the start
     /// window, extended so that a fast clock does not shorten them.
     pub fn retention(&self) -> Duration {
         extend_for_drift(self.lifetime + self.start_window)
     }
 
-    /// How long a replaced replica waits by its own clock before it reads the claims of
-    /// other members. After that time, every claim that its predecessor voted for either
+    /// Time for which a replaced replica waits by its own clock before it reads the
+    /// claims of other members. After that time, every claim that its predecessor voted for either
     /// has its majority or can no longer reach one, and no handover of an earlier process
     /// is valid.
     pub fn predecessor_vote_expiry(&self) -> Duration {
--- a/crates/coordination/src/class_floor.rs
+++ b/crates/coordination/src/class_floor.rs
@@ -6,8 +6,8 @@
 use lifthollow_protocol::RefusalReason;
 use lifthollow_state::{PriorityClass, Timestamp};
 
-/// How long less important classes are refused after a call was refused for
-/// overload.
+/// Duration for which less important classes are refused after a call was refused
+/// for overload.
 const FLOOR_DURATION: Duration = Duration::from_millis(100);
 
 /// Lowest priority class that is admitted, depending on recent refusals.
--- a/crates/coordination/src/fleet/config/pull.rs
+++ b/crates/coordination/src/fleet/config/pull.rs
@@ -5,7 +5,7 @@
 use lifthollow_protocol::control::{RowKey, TablePage, TableRequest};
 use lifthollow_state::{Table, TableRow, TableVersion, Timestamp};
 
-/// A request that brought no page for this long is repeated to another peer.
+/// If a request yields no page for this long, it is sent to another peer.
 const STALL_TIMEOUT: Duration = Duration::from_millis(400);
 /// A transfer that received no page for this long is dropped; the next message from
 /// a node that has a newer version starts another.
@@ -15,10 +15,10 @@
 /// Maximum number of out-of-order pages that are buffered while an earlier one is
 /// missing.
 const MAX_BUFFERED_PAGES: usize = 8;
-/// Number of pages that answer one request; after as many, the next are requested.
+/// Number of pages that answer one request; further pages need another request.
 const PAGES_PER_REQUEST: u32 = 4;
 
-/// What the caller has to do after a received page.
+/// Action required of the caller after a received page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PullProgress {
     /// Nothing: more pages of the same answer are in transit, or the page was not
@@ -82,12 +82,12 @@
         }
     }
 
-    /// Whether the request should be repeated.
+    /// Whether no page arrived for `STALL_TIMEOUT`, so that the request is repeated.
     pub fn is_stalled(&self, now: Timestamp) -> bool {
         now - self.requested_at.max(self.progressed_at) >= STALL_TIMEOUT
     }
 
-    /// Whether no page arrived for so long that the transfer is given up.
+    /// Whether no page arrived for `ABANDON_TIMEOUT`, so that the transfer is dropped.
     pub fn is_abandoned(&self, now: Timestamp) -> bool {
         now - self.progressed_at >= ABANDON_TIMEOUT
     }
--- a/crates/coordination/src/fleet/event.rs
+++ b/crates/coordination/src/fleet/event.rs
@@ -19,7 +19,7 @@
     pub side: Side,
     /// The failure domain of this node.
     pub zone: Zone,
-    /// The services whose back ends run beside this node.
+    /// The services whose back ends are local to this node.
     pub services: Vec<ServiceName>,
     /// Nodes to ask first when the platform's list is not available.
     pub seeds: Vec<NodeId>,
--- a/crates/coordination/src/fleet/membership/listing.rs
+++ b/crates/coordination/src/fleet/membership/listing.rs
@@ -11,12 +11,13 @@
 use crate::fleet::event::Machine;
 use crate::fleet::outbox::Outbox;
 
-/// What a list that was read has changed in the membership.
+/// Changes that a fetched list of machines made to the membership.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListChange {
     /// Whether the list contained something that was not known.
     pub changed: bool,
-    /// How this node itself was listed before and is listed now.
+    /// Listing of this node itself before and after the list was applied; none if the
+    /// list does not contain this node.
     pub own: Option<(Listing, Listing)>,
 }
 
--- a/crates/coordination/src/fleet/membership/member.rs
+++ b/crates/coordination/src/fleet/membership/member.rs
@@ -4,7 +4,7 @@
 use lifthollow_state::{Incarnation, Server, ServerState, TableVersion, Timestamp};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How the platform's list of machines shows a member.
+/// Status of a member in the platform's list of machines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Listing {
     /// No list read so far contains the member.
@@ -25,13 +25,14 @@
     /// only the platform's list or the settings name the member and no node has
     /// announced it.
     pub record: MemberRecord,
-    /// How the platform's list shows the member.
+    /// Status of the member in the platform's list of machines.
     pub listing: Listing,
-    /// When this node last received a message from the member.
+    /// Time at which this node last received a message from the member.
     pub heard: Option<Timestamp>,
     /// The table version in force on the member in its last message.
     pub table: TableVersion,
-    /// Since when the status of the member is not `Alive`; set anew when it is removed.
+    /// Time since which the status of the member is not `Alive`; set to the time of
+    /// removal when the member is removed.
     pub not_alive_since: Option<Timestamp>,
 }
 
--- a/crates/coordination/src/fleet/membership/member_table.rs
+++ b/crates/coordination/src/fleet/membership/member_table.rs
@@ -18,7 +18,7 @@
 /// Result of merging a received record into the member table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Merge {
-    /// The same record was known already.
+    /// The table already contains the same record.
     Known,
     /// The received record is older than the known one.
     Older,
--- a/crates/coordination/src/fleet/membership/mod.rs
+++ b/crates/coordination/src/fleet/membership/mod.rs
@@ -5,7 +5,7 @@
 //! whatever the order in which updates arrive.
 //!
 //! - [`prober`]: probes members directly and through other nodes;
-//! - [`zones`]: tells an unreachable zone from a failed member;
+//! - [`zones`]: distinguishes an unreachable zone from a failed member;
 //! - [`failure_handling`]: handles a probe without an answer;
 //! - [`updates`], [`update_queue`]: member records piggybacked on probes and answers;
 //! - [`synchronization`]: compares all members, to repair what updates missed;
@@ -159,8 +159,8 @@
         choices.collect()
     }
 
-    /// A random node that had at least this table version in force when it was last
-    /// heard.
+    /// A random node whose last message reported at least this table version as in
+    /// force.
     pub fn peer_with_table(&mut self, version: TableVersion) -> Option<NodeId> {
         let has_version = |member: &&Member| {
             member.table >= version && member.record.status == MemberStatus::Alive
--- a/crates/coordination/src/fleet/membership/prober.rs
+++ b/crates/coordination/src/fleet/membership/prober.rs
@@ -305,7 +305,7 @@
 }
 
 /// Number of attempts for a probe: only one for a member that is not `Alive` or is in
-/// an unreachable zone, since repeating the probe would bring no new information.
+/// an unreachable zone, since repeating the probe would yield no new information.
 fn attempts_for(probe: &Probe, members: &MemberTable, zones: &ZoneReachability) -> u32 {
     let suspected = members
         .get(probe.target)
--- a/crates/coordination/src/fleet/membership/synchronization.rs
+++ b/crates/coordination/src/fleet/membership/synchronization.rs
@@ -22,7 +22,8 @@
 const INTERVAL: Duration = Duration::from_secs(5);
 /// Time between two comparisons while many records are missing.
 const INTERVAL_WHILE_BEHIND: Duration = Duration::from_secs(1);
-/// Number of new records in one comparison from which on more are assumed missing.
+/// Number of new records in one comparison from which on further records are assumed
+/// to be missing.
 const BEHIND_THRESHOLD: usize = 20;
 /// Maximum number of datagrams that answer one comparison.
 const DATAGRAMS_PER_ANSWER: u32 = 3;
--- a/crates/coordination/src/fleet/membership/update_queue.rs
+++ b/crates/coordination/src/fleet/membership/update_queue.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// How often a record is forwarded or received again in a fleet of `members` nodes
+/// Number of times that a record is forwarded or received again in a fleet of `members` nodes
 /// before it leaves the queue: enough to reach nearly all nodes, so that
 /// synchronization has to repair only the rest.
 pub fn forward_limit(members: usize) -> u32 {
--- a/crates/coordination/src/inbound/mod.rs
+++ b/crates/coordination/src/inbound/mod.rs
@@ -40,7 +40,7 @@
     pub body_digest: u64,
 }
 
-/// How a run ended on the back end.
+/// Result of a run on the back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunResult {
     /// The back end ran the call and answered.
@@ -51,7 +51,7 @@
     /// The back end refused the call before running it: it answered HTTP 503 with
     /// `Retry-After`, or the connection could not be opened.
     Refused {
-        /// How long the back end asks callers to wait before they call again.
+        /// Time that the back end asks callers to wait before they call again.
         retry_after: Duration,
     },
     /// The answer was lost after the call may have started.
@@ -72,7 +72,7 @@
     RunAnswered {
         /// The attempt that was run.
         id: InboundId,
-        /// How the run ended on the back end.
+        /// Result of the run on the back end.
         result: RunResult,
     },
     /// The outcome of a run under a claim, recorded to answer repeats of the call.
@@ -103,11 +103,11 @@
         /// Whether the back end reports itself as healthy.
         healthy: bool,
     },
-    /// The time returned by [`InboundPolicy::next_wake`] has come.
+    /// The time returned by [`InboundPolicy::next_wake`] was reached.
     Wake,
     /// The process was paused; earlier decisions may be stale.
     Resumed {
-        /// How long the process was paused.
+        /// Duration of the pause.
         paused_for: Duration,
     },
     /// A planned stop has begun: the node takes no new attempts.
@@ -147,7 +147,7 @@
     Answer {
         /// The attempt that is answered.
         id: InboundId,
-        /// How the attempt ended.
+        /// Outcome of the attempt.
         result: AttemptResult,
     },
     /// Tell the back end to stop the run.
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -30,7 +30,7 @@
     Inbound(InboundEvent),
     /// An event from the platform or from other nodes.
     Fleet(FleetEvent),
-    /// The time returned by [`Node::next_wake`] has come.
+    /// The time returned by [`Node::next_wake`] was reached.
     Wake,
 }
 
@@ -45,7 +45,7 @@
     Fleet(FleetEffect),
 }
 
-/// A wake that is late by more than this means that the process was paused.
+/// A scheduled wake that is late by more than this means that the process was paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
 /// Longest interval between two wakes of a node, so that it detects pauses of the
 /// process.
--- a/crates/coordination/src/outbound/call_state.rs
+++ b/crates/coordination/src/outbound/call_state.rs
@@ -22,7 +22,7 @@
     pub delivered: bool,
 }
 
-/// How an attempt ended that gave the caller no successful answer.
+/// Failure of an attempt that gave the caller no successful answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Failure {
     /// Whether the back end may have run the attempt.
@@ -32,8 +32,8 @@
 }
 
 impl Failure {
-    /// An attempt given up without an answer: all retries lent with it count as
-    /// spent.
+    /// Failure of an attempt abandoned without an answer: all retries lent with it
+    /// count as spent.
     pub const NO_ANSWER: Failure = Failure {
         may_have_run: true,
         unspent: RetryAllowance(0),
--- a/crates/coordination/src/outbound/edge.rs
+++ b/crates/coordination/src/outbound/edge.rs
@@ -39,7 +39,7 @@
     /// Whether a half-open server may be chosen: the call can be sent again if
     /// that server fails it.
     pub may_use_half_open: bool,
-    /// Whether the server must have spare capacity, as far as this node knows.
+    /// Whether the server must have spare capacity as estimated by this node.
     pub needs_capacity: bool,
 }
 
@@ -55,7 +55,7 @@
     pub spilled: bool,
 }
 
-/// What this node has observed of one service and its servers.
+/// Observations of this node about one service and its servers.
 #[derive(Debug)]
 pub struct Edge {
     service: ServiceName,
@@ -121,14 +121,14 @@
     }
 
     /// Records that the last byte of an answer has been passed on, or that the
-    /// attempt was given up.
+    /// attempt was abandoned.
     pub fn record_stream_closed(&mut self, server: NodeId, attempt: AttemptId) {
         if let Some(record) = self.servers.get_mut(&server) {
             record.record_stream_closed(attempt);
         }
     }
 
-    /// How long an attempt may take before another server is considered, for a
+    /// Time that an attempt may take before another server is considered, for a
     /// call with `remaining` time until its deadline.
     pub fn attempt_timeout(&self, remaining: Duration) -> Duration {
         if !self.latency.has_samples() {
--- a/crates/coordination/src/outbound/edge/choice.rs
+++ b/crates/coordination/src/outbound/edge/choice.rs
@@ -15,8 +15,8 @@
 /// A side takes over calls of an overloaded side only up to this utilization, in
 /// calls per call allowed in flight.
 const SPILL_UTILIZATION: f64 = 0.8;
-/// A server counts as responsive for at least this long after it began to owe an
-/// answer.
+/// A server with an outstanding attempt counts as responsive for at least this long
+/// without sending an answer.
 const MIN_RESPONSIVE_TIME: Duration = Duration::from_millis(50);
 /// Utilization at which a server has no spare capacity.
 const FULL_UTILIZATION: f64 = 1.0;
@@ -24,8 +24,8 @@
 /// Condition that a server must meet to be chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Eligibility {
-    /// The server is in use or half-open and has not owed an answer for longer
-    /// than the mean latency.
+    /// The server is in use or half-open and has not left an attempt unanswered for
+    /// longer than the mean latency.
     Responsive,
     /// The server is in use or half-open.
     InUse,
--- a/crates/coordination/src/outbound/ejection.rs
+++ b/crates/coordination/src/outbound/ejection.rs
@@ -14,15 +14,15 @@
 const CONSECUTIVE_FAILURE_THRESHOLD: u32 = 5;
 /// Share of failed attempts that marks a server as failing.
 const FAILURE_RATE_THRESHOLD: f64 = 0.5;
-/// Number of attempts without contact, with no success in between, that marks a
-/// server as unreachable.
+/// Number of attempts without an answer or without a connection, with no success in
+/// between, that marks a server as unreachable.
 const UNREACHABLE_THRESHOLD: u32 = 2;
 /// Duration of the first ejection; each further one lasts twice as long as the
 /// one before.
 const BASE_EJECTION: Duration = Duration::from_millis(500);
 /// Longest duration of an ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
-/// How long a half-open server waits for a call that can be sent again, before
+/// Longest wait of a half-open server for a call that can be sent again; after that
 /// any call may be its trial attempt.
 const MAX_TRIAL_WAIT: Duration = Duration::from_secs(10);
 /// After this long without a failure, a success resets the count of earlier
@@ -160,7 +160,7 @@
         self.failure_rate
     }
 
-    /// When the server last came back into use.
+    /// Time at which the server's last ejection ended and it was used normally again.
     pub fn reinstated_at(&self) -> Timestamp {
         self.reinstated_at
     }
--- a/crates/coordination/src/outbound/mod.rs
+++ b/crates/coordination/src/outbound/mod.rs
@@ -1,5 +1,5 @@
-//! The caller's side of a call: which server each attempt is sent to, and what
-//! the caller is answered.
+//! The caller's side of a call: selects the server for each attempt and the answer
+//! to the caller.
 //!
 //! A *call* is a request of a local caller. Each try to run it on a server is an
 //! *attempt*. The transport (or the simulation) reports what happens to
@@ -58,10 +58,10 @@
     pub replayable: bool,
 }
 
-/// What a server answered to an attempt.
+/// A server's answer to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptAnswer {
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     pub result: AttemptResult,
     /// The server's load, if the answer came from the server's node.
     pub load: Option<LoadReport>,
@@ -102,7 +102,7 @@
     Wake,
     /// The process was paused; earlier decisions may be stale.
     Resumed {
-        /// How long the process was paused.
+        /// Duration of the pause.
         paused_for: Duration,
     },
 }
@@ -117,16 +117,16 @@
     },
     /// No attempt of the call ran on a back end.
     NotRun {
-        /// Why the call was given up.
+        /// Why no further attempt is made.
         reason: RefusalReason,
-        /// How long the caller should wait before it makes the call again.
+        /// Time that the caller should wait before it makes the call again.
         retry_after: Duration,
     },
     /// An attempt of the call may have run on a back end.
     Unknown {
         /// Why the call has no complete answer.
         reason: RefusalReason,
-        /// How long the caller should wait before it repeats the call with its
+        /// Time that the caller should wait before it repeats the call with the same
         /// idempotency key.
         retry_after: Duration,
     },
@@ -148,7 +148,7 @@
     },
     /// Give up an attempt: its server must drop or cancel it.
     Cancel {
-        /// The attempt to give up.
+        /// The attempt to cancel.
         attempt: AttemptId,
     },
     /// Answer the caller. This is the last effect for the call.
--- a/crates/coordination/src/outbound/outlier_detection.rs
+++ b/crates/coordination/src/outbound/outlier_detection.rs
@@ -1,10 +1,10 @@
 //! Choice of the servers to eject, by comparison with the others of their side.
 //!
-//! A server is ejected only while others do clearly better, and never so many
-//! servers that a wrong conclusion could empty the service: for errors at most half
-//! of a side is ejected, for missing answers and broken connections at most all
-//! servers that others can replace. If all servers fail or stop answering at once,
-//! the cause is not the servers and none is ejected.
+//! A server is ejected only while others do clearly better. The number of ejected
+//! servers is limited, so that a wrong conclusion can't leave the service without
+//! servers: for errors at most half of a side is ejected, for missing answers and
+//! broken connections at most all servers that others can replace. If all servers
+//! fail or stop answering at once, the cause is not the servers and none is ejected.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 use super::ejection::Evidence;
 use super::server_state::ServerRecord;
 
-/// A server that owes an answer counts as unresponsive only after at least this
-/// long.
+/// A server with an outstanding attempt counts as unresponsive only after at least
+/// this long without an answer.
 const MIN_UNRESPONSIVE_TIME: Duration = Duration::from_millis(200);
 /// Largest mean failure rate of the other servers, relative to the failure rate of
 /// the suspected server, at which the others count as clearly better.
--- a/crates/coordination/src/outbound/retry_decision.rs
+++ b/crates/coordination/src/outbound/retry_decision.rs
@@ -2,7 +2,7 @@
 
 use lifthollow_state::Timestamp;
 
-/// What is known about a call when one of its attempts has failed.
+/// Facts about a call and its failed attempt from which the retry is decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedAttempt {
     /// Whether every attempt of the call so far is known not to have run.
--- a/crates/coordination/src/outbound/routing.rs
+++ b/crates/coordination/src/outbound/routing.rs
@@ -28,7 +28,7 @@
 use crate::View;
 use crate::refusal::{CallFailure, RetryAfterGenerator};
 
-/// How often the servers of all edges are checked for outliers to eject.
+/// Interval at which the servers of all edges are checked for outliers to eject.
 const OUTLIER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Mixed into the node's seed, so that the random choice of servers and the random
 /// spread of `retry_after` times are independent.
@@ -305,7 +305,7 @@
     }
 
     /// Handles the timer of a call: its attempt takes unusually long, or its
-    /// deadline has come. A slow attempt is replaced if the call may be repeated
+    /// deadline has passed. A slow attempt is replaced if the call may be repeated
     /// and another server can take it; otherwise the call keeps waiting for it.
     fn handle_timer(
         &mut self,
--- a/crates/coordination/src/outbound/server_choice.rs
+++ b/crates/coordination/src/outbound/server_choice.rs
@@ -22,7 +22,7 @@
     pub node: NodeId,
     /// The server's failure domain.
     pub zone: Zone,
-    /// What this node has observed of the server.
+    /// Observations of this node about the server.
     pub record: &'a ServerRecord,
 }
 
--- a/crates/coordination/src/outbound/server_state.rs
+++ b/crates/coordination/src/outbound/server_state.rs
@@ -19,12 +19,12 @@
 /// its full share.
 const SLOW_START_SHARE: f64 = 0.1;
 
-/// How an attempt ended, classified by what it reveals about the server.
+/// Outcome of an attempt, classified by what it shows about the server's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The server answered without an error.
     Succeeded,
-    /// The server's node refused the attempt with a proper answer, which means
+    /// The server's node refused the attempt with a valid answer, which indicates
     /// load and not failure.
     Refused,
     /// The server answered with an error, or its back end refused or lost the
@@ -32,9 +32,9 @@
     Failed,
     /// The server did not answer or could not be reached.
     Unreachable,
-    /// The attempt took unusually long and was given up.
+    /// The attempt took unusually long and was abandoned.
     TimedOut,
-    /// The attempt was given up because the caller cancelled the call.
+    /// The attempt was abandoned because the caller cancelled the call.
     GivenUp,
 }
 
@@ -48,7 +48,8 @@
     reported_at: Option<Timestamp>,
     outstanding_at_report: u32,
     latency: LatencyEstimate,
-    /// Since when the server has owed answers without giving any, if it does.
+    /// Start of the period in which the server has answered none of its outstanding
+    /// attempts; none if no attempt was outstanding after its last answer.
     unanswered_since: Option<Timestamp>,
     last_given_up: Timestamp,
     /// Whether the server is ejected because it fails.
@@ -142,8 +143,8 @@
         self.reported_at = None;
     }
 
-    /// How long the server has owed answers without giving any, until now or
-    /// until the last outstanding attempt was given up.
+    /// Time for which the server has had outstanding attempts but sent no answer,
+    /// until now or until the last outstanding attempt was abandoned.
     pub fn time_without_answer(&self, now: Timestamp) -> Duration {
         let Some(since) = self.unanswered_since else {
             return Duration::ZERO;
@@ -163,8 +164,8 @@
         Some(report.admission_level)
     }
 
-    /// Whether the server's last load report is fresh and says that it takes no
-    /// new work.
+    /// Whether the server's last load report is fresh and states that the server
+    /// accepts no new work.
     pub fn is_leaving(&self, now: Timestamp) -> bool {
         self.fresh_report(now).is_some_and(|report| report.leaving)
     }
--- a/crates/coordination/src/refusal.rs
+++ b/crates/coordination/src/refusal.rs
@@ -54,8 +54,8 @@
 pub struct CallFailure {
     /// The reason sent to the caller.
     pub reason: RefusalReason,
-    /// How long the server that refused the call asks callers to wait; zero if it
-    /// named no time.
+    /// Time for which the server that refused the call asks callers to wait; zero if
+    /// it gave none.
     pub retry_after: Duration,
 }
 
--- a/crates/daemon/src/control/input.rs
+++ b/crates/daemon/src/control/input.rs
@@ -41,7 +41,7 @@
         /// Channel for the answer, which is `None` if the node claims no keys.
         reply: flume::Sender<Option<KeyReport>>,
     },
-    /// A planned stop asked whether claims remain to be handed over.
+    /// The shutdown routine asked whether claims remain to be handed over.
     HandoverAsked {
         /// Channel for the answer.
         reply: flume::Sender<bool>,
@@ -67,7 +67,7 @@
 pub enum AttemptEffect {
     /// Run the attempt on the local back end.
     Run {
-        /// Time at which the back end should give up.
+        /// Time by which the back end should stop working on the attempt.
         deadline: Timestamp,
         /// A run under a claim must start before this time; `None` without a claim.
         start_before: Option<Timestamp>,
@@ -83,7 +83,7 @@
     },
     /// Send this result to the caller's node.
     Answer {
-        /// How the attempt ended.
+        /// Outcome of the attempt.
         result: AttemptResult,
         /// The load of this node.
         load: LoadReport,
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -30,7 +30,7 @@
 use crate::traffic::{Traffic, TrafficParts};
 use lifthollow_transport::clock::Clock;
 
-/// How long a leaving node waits for other nodes to close their connections
+/// Longest wait of a leaving node for other nodes to close their connections
 /// after the last call has ended.
 const CONNECTION_CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longest wait for the handover of claims at a planned stop.
--- a/crates/daemon/src/operators/server.rs
+++ b/crates/daemon/src/operators/server.rs
@@ -21,7 +21,7 @@
 use crate::operators::{Metrics, RefusalLog};
 use lifthollow_transport::clock::Clock;
 
-/// Interval at which the server checks whether it has been told to stop.
+/// Interval at which the server checks whether a stop was requested.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest wait for an answer of the control thread.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -48,7 +48,7 @@
     pub table: Option<SocketAddr>,
     /// Address of the service that answers `GET /machines`.
     pub machines: Option<SocketAddr>,
-    /// Shared state to which the last fault of the table is posted.
+    /// Shared state to which the error of the last table fetch is posted.
     pub shared: Arc<SharedState>,
     /// The control thread, which receives the results.
     pub control: ControlHandle,
@@ -71,7 +71,8 @@
     }
 
     /// Fetches the table and reports the result to the control thread. A table with
-    /// any fault is refused as a whole; the same fault is not logged again.
+    /// any fault is rejected as a whole; a fault is logged only
+    /// if it differs from that of the previous fetch.
     fn update_table(&self, agent: &Agent) {
         let fetched = self.fetch_table(agent);
         self.metrics.fetched("table", fetched.is_ok());
--- a/crates/daemon/src/traffic/dispatch.rs
+++ b/crates/daemon/src/traffic/dispatch.rs
@@ -46,7 +46,7 @@
     _upload: Option<Upload>,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 pub struct AttemptOutcome {
     /// ID of the attempt that ended.
     pub attempt: AttemptId,
--- a/crates/protocol/src/answer.rs
+++ b/crates/protocol/src/answer.rs
@@ -130,7 +130,7 @@
     }
 }
 
-/// How an attempt ended, as far as the reporting node knows.
+/// Outcome of an attempt, as known to the reporting node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum AttemptResult {
     /// The back end ran the call and answered.
--- a/crates/protocol/src/claim.rs
+++ b/crates/protocol/src/claim.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// How the run under a claim ended.
+/// Outcome of the run under a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum RecordedOutcome {
     /// The back end answered, and the answer is recorded.
@@ -162,7 +162,7 @@
     /// The idempotency key to be released.
     #[cbor(n(0), with = "crate::control::codec::idempotency_key")]
     pub key: IdempotencyKey,
-    /// The claim that gives up the key.
+    /// The claim that releases the key.
     #[n(1)]
     pub claim: ClaimId,
 }
@@ -179,7 +179,7 @@
     /// Digest of method, path and body of the call.
     #[n(2)]
     pub body_digest: u64,
-    /// How the run ended.
+    /// Outcome of the run.
     #[n(3)]
     pub outcome: RecordedOutcome,
 }
@@ -224,7 +224,7 @@
     /// Digest of method, path and body of the call.
     #[n(2)]
     pub body_digest: u64,
-    /// How the run ended; none if it is not known to have ended.
+    /// Outcome of the run; none if the run is not known to have ended.
     #[n(3)]
     pub outcome: Option<RecordedOutcome>,
 }
@@ -238,7 +238,7 @@
     /// Version of the answering replica's roster.
     #[n(1)]
     pub roster: RosterVersion,
-    /// The request's `from_key`.
+    /// The `from_key` of the answered [`RejoinRequest`].
     #[cbor(n(2), with = "crate::control::codec::idempotency_key")]
     pub from_key: IdempotencyKey,
     /// Claims on the keys of which both replicas store records.
@@ -247,7 +247,7 @@
     /// Key at which the next page begins; none if this page is the last.
     #[n(4)]
     pub next: Option<NextPage>,
-    /// The request's `settled`.
+    /// The `settled` flag of the answered [`RejoinRequest`].
     #[n(5)]
     pub settled: bool,
     /// Whether the claims are all of those that the stopped process handed over.
--- a/crates/protocol/src/frame/message.rs
+++ b/crates/protocol/src/frame/message.rs
@@ -64,7 +64,7 @@
 /// [`AttemptResult::Completed`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct AnswerHead {
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     #[n(0)]
     pub result: AttemptResult,
     /// HTTP status of the answer to a completed attempt.
--- a/crates/protocol/src/operators.rs
+++ b/crates/protocol/src/operators.rs
@@ -149,7 +149,7 @@
     pub refusals: Vec<Refusal>,
 }
 
-/// What the caller is told about a call that got no answer.
+/// Outcome reported to the caller of a call that got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
@@ -232,7 +232,7 @@
     }
 }
 
-/// `GET /claims?service=SERVICE&key=KEY`: what a node knows about an idempotency key.
+/// `GET /claims?service=SERVICE&key=KEY`: a node's record of an idempotency key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClaimStatus {
     /// Name of the service to which the key belongs.
--- a/crates/state/src/finding.rs
+++ b/crates/state/src/finding.rs
@@ -49,7 +49,7 @@
 pub struct Finding {
     /// Location of the error.
     pub place: Place,
-    /// What is wrong and which values are valid.
+    /// Description of the error and of the valid values.
     pub message: String,
 }
 
--- a/crates/state/src/mesh/configuration.rs
+++ b/crates/state/src/mesh/configuration.rs
@@ -56,7 +56,7 @@
     pub tenants: Vec<Tenant>,
 }
 
-/// Why a configuration is invalid, with the route or tenant at fault.
+/// Reason why a configuration is invalid, with the invalid route or tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigurationError {
     /// A route's path prefix does not begin and end with a slash.
--- a/crates/state/src/mesh/update.rs
+++ b/crates/state/src/mesh/update.rs
@@ -16,7 +16,7 @@
     /// A server announced itself, or something about it changed.
     #[n(1)]
     Server(#[n(0)] ServerInstance),
-    /// A server's announcement was removed; the id stands for all starts of the server.
+    /// A server's announcement was removed; the id applies to all starts of the server.
     #[n(2)]
     ServerGone(#[n(0)] InstanceId),
     /// A server's announcement was overwritten by a value that is not a valid announcement.
@@ -54,7 +54,7 @@
     }
 }
 
-/// What a node sends to another node whose snapshot is older.
+/// Data that a node sends to another node whose snapshot is older.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Update {
     /// The whole snapshot, because the sender doesn't know the individual changes since the
--- a/crates/state/src/request.rs
+++ b/crates/state/src/request.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// How important a call is to the business. Larger is more important.
+/// Importance of a call to the business. Larger is more important.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PriorityClass {
     /// Calls that may wait and are refused first, such as bulk catalogue pulls.
@@ -57,7 +57,7 @@
         PriorityClass::Critical,
     ];
 
-    /// The word written in tables and headers.
+    /// The name of the class in tables and headers.
     pub fn as_str(self) -> &'static str {
         match self {
             PriorityClass::Sheddable => "sheddable",
--- a/crates/state/src/table/document.rs
+++ b/crates/state/src/table/document.rs
@@ -61,7 +61,7 @@
         Place::cell(&self.file, record.row, index + 1)
     }
 
-    /// Returns the location that stands for the file as a whole.
+    /// Returns the location that denotes the file as a whole.
     pub(super) fn whole(&self) -> Place {
         Place::File(Arc::clone(&self.file))
     }
--- a/crates/transport/src/mux/body.rs
+++ b/crates/transport/src/mux/body.rs
@@ -23,7 +23,7 @@
 #[error("the stream ended before its body was complete")]
 pub struct StreamClosed;
 
-/// What happens to the stream when a body has been sent completely.
+/// Action on the stream after a body has been sent completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterBody {
     /// The stream stays open, because the answer is still expected.
--- a/crates/transport/src/mux/queue.rs
+++ b/crates/transport/src/mux/queue.rs
@@ -24,7 +24,7 @@
 #[error("the connection is closed")]
 pub(super) struct ConnectionClosed;
 
-/// State of a queued open frame, which tells whether it may have reached the other node.
+/// State of a queued open frame, which shows whether it may have reached the other node.
 #[derive(Debug, Default)]
 pub(super) struct OpenState(AtomicU8);
 
--- a/crates/transport/src/mux/reader.rs
+++ b/crates/transport/src/mux/reader.rs
@@ -1,4 +1,4 @@
-//! Reading frames from a connection, with pings that detect a silent peer.
+//! Reading frames from a connection, with pings that detect an unresponsive peer.
 
 use std::io;
 
