--- a/crates/coordination/src/inbound/admission_control.rs
+++ b/crates/coordination/src/inbound/admission_control.rs
@@ -1,4 +1,4 @@
-//! The product's inbound decisions for all services beside a node.
+//! The product's inbound policy, for all services with a back end local to a node.
 
 use std::collections::BTreeMap;
 
@@ -10,37 +10,37 @@
 use super::{Attempt, InboundEffect, InboundEvent, InboundId, InboundPolicy};
 use super::{RunResult, attempt_result};
 use crate::View;
-use crate::refusal::RetryAfter;
+use crate::refusal::RetryAfterGenerator;
 
-/// Admits, queues or refuses attempts, apart for each service.
+/// Inbound policy that admits, queues or refuses attempts, independently for each
+/// service.
 ///
-/// [`InboundEffect::Run`] is the point between admission and execution: what
-/// must be agreed on before a call runs can be done by whoever carries it out,
-/// and an attempt that turns out not to run is reported as
-/// [`InboundEvent::RunClosed`].
+/// [`InboundEffect::Run`] separates admission from execution: any agreement that a
+/// call needs before it runs is reached by the code that carries out the effect.
+/// If the attempt is then not run, that code reports [`InboundEvent::RunClosed`].
 #[derive(Debug)]
 pub struct AdmissionControl {
     side: Side,
     leaving: bool,
     services: BTreeMap<ServiceName, ServiceAdmission>,
     service_of: BTreeMap<InboundId, ServiceName>,
-    retry_after: RetryAfter,
+    retry_after: RetryAfterGenerator,
 }
 
 impl AdmissionControl {
-    /// Decisions of a node on `side`; `seed` spreads the times told to refused
-    /// callers.
+    /// Creates the policy of a node on `side`; `seed` determines the random spread
+    /// of the `retry_after` times sent to refused callers.
     pub fn new(side: Side, seed: u64) -> Self {
         AdmissionControl {
             side,
             leaving: false,
             services: BTreeMap::new(),
             service_of: BTreeMap::new(),
-            retry_after: RetryAfter::from_seed(seed),
+            retry_after: RetryAfterGenerator::from_seed(seed),
         }
     }
 
-    fn arrive(
+    fn handle_arrival(
         &mut self,
         now: Timestamp,
         view: &View,
@@ -62,13 +62,14 @@
         };
         self.service_of.insert(id, attempt.service.clone());
         let service = attempt.service;
-        self.decide(&service, effects, |admission, verdicts| {
-            admission.arrive(now, row, queued, verdicts);
+        self.apply_decision(&service, effects, |admission, verdicts| {
+            admission.handle_arrival(now, row, queued, verdicts);
         });
     }
 
-    /// Lets a service's admission decide and carries out its verdicts.
-    fn decide(
+    /// Applies `decision` to a service's admission state and turns the resulting
+    /// verdicts into effects.
+    fn apply_decision(
         &mut self,
         service: &ServiceName,
         effects: &mut Vec<InboundEffect>,
@@ -110,7 +111,7 @@
         });
     }
 
-    fn answered(
+    fn handle_answer(
         &mut self,
         now: Timestamp,
         view: &View,
@@ -125,7 +126,7 @@
         let Some(admission) = self.services.get_mut(service) else {
             return;
         };
-        if admission.answered(now, row, id, result) {
+        if admission.handle_answer(now, row, id, result) {
             effects.push(InboundEffect::Answer {
                 id,
                 result: attempt_result(result),
@@ -133,7 +134,7 @@
         }
     }
 
-    fn closed(
+    fn handle_run_closed(
         &mut self,
         now: Timestamp,
         view: &View,
@@ -144,17 +145,17 @@
             return;
         };
         let row = view.table.row(&service, self.side);
-        self.decide(&service, effects, |admission, verdicts| {
-            admission.closed(now, row, id, verdicts);
+        self.apply_decision(&service, effects, |admission, verdicts| {
+            admission.handle_run_closed(now, row, id, verdicts);
         });
     }
 
-    fn cancel(&mut self, id: InboundId, effects: &mut Vec<InboundEffect>) {
+    fn cancel_attempt(&mut self, id: InboundId, effects: &mut Vec<InboundEffect>) {
         let Some(service) = self.service_of.get(&id) else {
             return;
         };
         let admission = self.services.get_mut(service);
-        if admission.is_some_and(|admission| admission.cancelled(id)) {
+        if admission.is_some_and(|admission| admission.cancel_attempt(id)) {
             effects.push(InboundEffect::CancelRun { id });
         } else {
             self.service_of.remove(&id);
@@ -171,7 +172,7 @@
         let services: Vec<ServiceName> = self.services.keys().cloned().collect();
         for service in services {
             if let Some(row) = view.table.row(&service, self.side) {
-                self.decide(&service, effects, |admission, verdicts| {
+                self.apply_decision(&service, effects, |admission, verdicts| {
                     decision(admission, row, verdicts);
                 });
             }
@@ -189,30 +190,31 @@
     ) {
         match event {
             InboundEvent::AttemptArrived { id, attempt } => {
-                self.arrive(now, view, id, attempt, effects);
+                self.handle_arrival(now, view, id, attempt, effects);
             }
             InboundEvent::RunAnswered { id, result } => {
-                self.answered(now, view, id, result, effects);
+                self.handle_answer(now, view, id, result, effects);
             }
-            InboundEvent::RunClosed { id } => self.closed(now, view, id, effects),
-            InboundEvent::AttemptCancelled { id } => self.cancel(id, effects),
+            InboundEvent::RunClosed { id } => self.handle_run_closed(now, view, id, effects),
+            InboundEvent::AttemptCancelled { id } => self.cancel_attempt(id, effects),
             InboundEvent::Wake => {
                 self.for_each_service(view, effects, |admission, row, verdicts| {
-                    admission.wake(now, row, verdicts);
+                    admission.handle_wake(now, row, verdicts);
                 });
             }
             InboundEvent::Resumed { .. } => {
                 self.for_each_service(view, effects, |admission, _, verdicts| {
-                    admission.resumed(now, verdicts);
+                    admission.handle_resume(now, verdicts);
                 });
             }
             InboundEvent::Leave => {
                 self.leaving = true;
                 self.for_each_service(view, effects, |admission, _, verdicts| {
-                    admission.leave(now, verdicts);
+                    admission.refuse_queued(now, verdicts);
                 });
             }
-            // Health endpoints lag and mislead; what the node sees decides.
+            // Health endpoints may report late or wrong, so admission depends only
+            // on what the node itself observes.
             InboundEvent::HealthReported { .. } | InboundEvent::AnswerRecorded { .. } => {}
         }
     }
@@ -234,7 +236,7 @@
 
     fn set_downstream_level(&mut self, service: &ServiceName, level: AdmissionLevel) {
         let admission = self.services.entry(service.clone()).or_default();
-        admission.set_downstream(level);
+        admission.set_downstream_level(level);
     }
 
     fn in_progress(&self) -> usize {
--- a/crates/coordination/src/mesh/request_tree.rs
+++ b/crates/coordination/src/mesh/request_tree.rs
@@ -4,7 +4,7 @@
 //! refused together: they share a [`Priority`], so that every server sheds the same
 //! trees and no server works for a tree that fails elsewhere.
 //!
-//! A call doesn't name the request that it is made for. However, its node knows which
+//! A call doesn't identify the request that it is made for. However, its node knows which
 //! requests its local server runs: a call belongs to the run whose request ID is the
 //! prefix of the call's own, or else to the run that has the same deadline.
 
@@ -36,7 +36,7 @@
     /// The priority of the request tree, which determines the order of load shedding.
     pub priority: Priority,
     /// Whether the run was a retry, which makes its calls count as retries too.
-    pub is_repeat: bool,
+    pub is_retry: bool,
 }
 
 /// The requests that this node's local server is running.
--- a/crates/coordination/src/mesh/server_health.rs
+++ b/crates/coordination/src/mesh/server_health.rs
@@ -2,7 +2,7 @@
 //!
 //! A server can fail part of its requests, for all callers or for those of one
 //! zone, while its health check succeeds. Its node sees the answers to all
-//! requests and so detects this first; callers' nodes are told the share with every
+//! requests and so detects this first; callers' nodes receive the share with every
 //! answer. Failures that are caused by a nested call don't count against the server.
 
 use std::collections::HashMap;
@@ -24,7 +24,7 @@
 /// recovered.
 const TRIAL_INTERVAL: u32 = 8;
 
-/// How a run on the server ended.
+/// Outcome of a run on the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
     /// The server answered, and the answer is not a failure.
@@ -95,8 +95,8 @@
     /// Time after which a run is overdue; `None` while no run times are known.
     pub fn overdue_after(&self, is_nested: bool) -> Option<Duration> {
         let run_time = &self.run_times[usize::from(is_nested)];
-        let limit = (run_time.high() * OVERDUE_FACTOR).max(MIN_OVERDUE);
-        run_time.is_known().then_some(limit)
+        let limit = (run_time.upper_bound() * OVERDUE_FACTOR).max(MIN_OVERDUE);
+        run_time.has_samples().then_some(limit)
     }
 
     /// Records that a run is overdue, which counts as a failure unless a call that it made is in
--- a/crates/coordination/src/mesh/server_selection/mod.rs
+++ b/crates/coordination/src/mesh/server_selection/mod.rs
@@ -19,8 +19,8 @@
 use crate::latency::LatencyEstimate;
 use crate::mesh::reported_load::ReportedLoad;
 use crate::mesh::server_record::{Eligibility, ServerRecord};
+use crate::mesh::server_requirements::ServerRequirements;
 use crate::mesh::server_suitability::{Suitability, is_failing};
-use crate::mesh::server_wanted::Wanted;
 
 pub use service_levels::KnownLoad;
 
@@ -114,11 +114,13 @@
         &self,
         now: Timestamp,
         service: &str,
-        wanted: Wanted<'_>,
+        requirements: ServerRequirements<'_>,
         random: &mut impl Rng,
     ) -> Option<Choice> {
         let servers = self.by_service.get(service)?;
-        let allowed = servers.iter().filter(|id| wanted.candidates.include(id));
+        let allowed = servers
+            .iter()
+            .filter(|id| requirements.candidates.include(id));
         let usable = || {
             let records = allowed.clone().filter_map(|id| self.records.get(id));
             records.filter(|record| !record.is_withdrawn(now))
@@ -126,10 +128,11 @@
         let best = usable()
             .map(|record| {
                 let is_suspect = record.eligibility(now) != Eligibility::Eligible;
-                let is_failing = wanted.purpose.must_succeed() && is_failing(now, record);
+                let is_failing = requirements.purpose.must_succeed() && is_failing(now, record);
                 let jitter = random.random::<f64>() * MAX_COST_JITTER;
-                let suitability = Suitability::of(now, record, &self.own_zone, wanted.may_repeat);
-                let wait = record.time_until_next(now, wanted.may_repeat);
+                let suitability =
+                    Suitability::of(now, record, &self.own_zone, requirements.may_retry);
+                let wait = record.time_until_next(now, requirements.may_retry);
                 let penalties = (
                     is_suspect,
                     is_failing,
@@ -147,7 +150,9 @@
         let has_alternative = usable()
             .filter(|record| record.instance.id != server.id)
             .any(|record| {
-                let may_get_more = record.time_until_next(now, wanted.may_repeat).is_zero();
+                let may_get_more = record
+                    .time_until_next(now, requirements.may_retry)
+                    .is_zero();
                 may_get_more && is_healthy(now, record)
             });
         Some(Choice {
@@ -173,17 +178,17 @@
     }
 
     /// Records that an attempt was sent to a server.
-    pub fn sent(&mut self, now: Timestamp, id: &InstanceId) {
+    pub fn record_attempt_sent(&mut self, now: Timestamp, id: &InstanceId) {
         if let Some(record) = self.records.get_mut(id) {
             record.in_flight += 1;
             if let Some(pace) = &mut record.send_pace {
-                pace.sent(now);
+                pace.record_attempt(now);
             }
         }
     }
 
     /// Records that an attempt at a server ended, with any outcome.
-    pub fn ended(&mut self, id: &InstanceId) {
+    pub fn record_attempt_ended(&mut self, id: &InstanceId) {
         if let Some(record) = self.records.get_mut(id) {
             record.in_flight = record.in_flight.saturating_sub(1);
         }
@@ -191,7 +196,7 @@
 
     /// Records an answer of a server's node. `latency` is the latency of the run if there was one,
     /// and whether it was a nested call.
-    pub fn heard(
+    pub fn record_answer(
         &mut self,
         now: Timestamp,
         id: &InstanceId,
@@ -205,7 +210,7 @@
         record.losses.observe(now, false);
         record.clear_suspicion(now);
         if let Some(pace) = &mut record.send_pace {
-            pace.served();
+            pace.record_success();
         }
         if let Some(load) = load {
             record.record_load_report(now, load);
@@ -216,14 +221,14 @@
     }
 
     /// Records a load that a server's node reported without an answer of the server.
-    pub fn reported(&mut self, now: Timestamp, id: &InstanceId, load: ReportedLoad) {
+    pub fn record_load_report(&mut self, now: Timestamp, id: &InstanceId, load: ReportedLoad) {
         if let Some(record) = self.records.get_mut(id) {
             record.record_load_report(now, load);
         }
     }
 
     /// Records a notice that a server sent in an answer.
-    pub fn noticed(&mut self, now: Timestamp, id: &InstanceId, notice: ServerNotice) {
+    pub fn record_notice(&mut self, now: Timestamp, id: &InstanceId, notice: ServerNotice) {
         if let Some(record) = self.records.get_mut(id) {
             record.record_notice(now, notice);
         }
@@ -233,7 +238,7 @@
     pub fn rate_limited(&mut self, now: Timestamp, id: &InstanceId) {
         let record = self.records.get_mut(id);
         if let Some(pace) = record.and_then(|record| record.send_pace.as_mut()) {
-            pace.turned_away(now);
+            pace.record_rejection(now);
         }
     }
 
@@ -244,7 +249,7 @@
     }
 
     /// Records that an answer of a server was lost or corrupted.
-    pub fn lost(&mut self, now: Timestamp, id: &InstanceId) {
+    pub fn record_lost_answer(&mut self, now: Timestamp, id: &InstanceId) {
         if let Some(record) = self.records.get_mut(id) {
             record.losses.observe(now, true);
         }
@@ -252,7 +257,7 @@
 
     /// Marks a server as suspect because it or its node was unreachable or unresponsive. Returns
     /// true if it was eligible before: then the caller must start probing it.
-    pub fn set_aside(&mut self, now: Timestamp, id: &InstanceId) -> bool {
+    pub fn mark_suspect(&mut self, now: Timestamp, id: &InstanceId) -> bool {
         match self.records.get_mut(id) {
             Some(record) if record.eligibility(now) == Eligibility::Eligible => {
                 record.set_eligibility(Eligibility::Suspect { failed_probes: 0 });
@@ -270,7 +275,7 @@
 
     /// Records that another server answered at a server's address. The server gets no attempts for
     /// `MISDIRECTED_PAUSE`; the one that answered may have been about to end.
-    pub fn misdirected(&mut self, now: Timestamp, id: &InstanceId) {
+    pub fn record_misdirected(&mut self, now: Timestamp, id: &InstanceId) {
         self.set_withdrawn(id, Some(now + MISDIRECTED_PAUSE));
     }
 
@@ -293,7 +298,7 @@
     }
 
     /// Records the result of a probe of a server's node.
-    pub fn probed(&mut self, now: Timestamp, id: &InstanceId, answered: bool) {
+    pub fn record_probe(&mut self, now: Timestamp, id: &InstanceId, answered: bool) {
         let Some(record) = self.records.get_mut(id) else {
             return;
         };
@@ -308,7 +313,7 @@
     /// Whether a server that was sent an attempt at `sent` is unresponsive, so that another server
     /// should be tried: it has answered nothing since then, although that is longer than an
     /// answer takes.
-    pub fn is_silent(
+    pub fn is_unresponsive(
         &self,
         now: Timestamp,
         id: &InstanceId,
@@ -318,18 +323,19 @@
         let Some(record) = self.records.get(id) else {
             return true;
         };
-        record.answered_at < sent && now.saturating_since(sent) >= self.silence(id, is_nested)
+        record.answered_at < sent
+            && now.saturating_since(sent) >= self.response_timeout(id, is_nested)
     }
 
     /// Time without an answer of a server after which a request or a nested call is tried at
     /// another server.
-    pub fn silence(&self, id: &InstanceId, is_nested: bool) -> Duration {
+    pub fn response_timeout(&self, id: &InstanceId, is_nested: bool) -> Duration {
         let latency = self
             .records
             .get(id)
             .map(|record| record.latencies[usize::from(is_nested)]);
-        let known = latency.filter(LatencyEstimate::is_known);
-        let expected = known.map_or(ASSUMED_LATENCY, |latency| latency.high());
+        let known = latency.filter(LatencyEstimate::has_samples);
+        let expected = known.map_or(ASSUMED_LATENCY, |latency| latency.upper_bound());
         (expected * 2).max(MIN_SILENCE)
     }
 }
--- a/crates/coordination/src/mesh/server_selection/service_levels.rs
+++ b/crates/coordination/src/mesh/server_selection/service_levels.rs
@@ -7,15 +7,15 @@
 
 use super::ServerPool;
 use crate::mesh::server_record::{Eligibility, ServerRecord};
+use crate::mesh::server_requirements::Purpose;
 use crate::mesh::server_suitability::is_failing;
-use crate::mesh::server_wanted::Purpose;
 
 /// Time for which a reported admission level is valid. After that, it decays exponentially.
 const LEVEL_VALIDITY: Duration = Duration::from_millis(250);
 /// Time in which an admission level that is no longer valid halves.
 const LEVEL_HALF_LIFE: Duration = Duration::from_millis(300);
 
-/// What this node knows of a service's load.
+/// This node's knowledge of a service's load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownLoad {
     /// The lowest admission level that any server of the service admits.
@@ -25,7 +25,7 @@
     /// Number of servers of the service that are ready.
     pub servers: usize,
     /// Number of these servers that are suspect or withdrawn.
-    pub set_aside: usize,
+    pub ineligible: usize,
 }
 
 impl ServerPool {
@@ -70,7 +70,7 @@
         last.map_or(AdmissionLevel::OPEN, |(level, age)| decayed(*level, *age))
     }
 
-    /// What this node knows of a service's load, for logs.
+    /// This node's knowledge of a service's load, for logs.
     pub fn known_load(&self, now: Timestamp, service: &str, purpose: Purpose) -> KnownLoad {
         let ids = self.by_service.get(service).into_iter().flatten();
         let records: Vec<&ServerRecord> = ids.filter_map(|id| self.records.get(id)).collect();
@@ -84,7 +84,7 @@
             level: self.admission_level(now, service, purpose),
             age: now.saturating_since(last),
             servers: records.len(),
-            set_aside: records.iter().filter(is_ineligible).count(),
+            ineligible: records.iter().filter(is_ineligible).count(),
         }
     }
 }
--- a/crates/coordination/src/mesh/snapshot_store/departures.rs
+++ b/crates/coordination/src/mesh/snapshot_store/departed_servers.rs
@@ -15,8 +15,8 @@
 
 /// How long a server is remembered whose entry disappeared without an announcement; the time
 /// counts only from when the source became available. The entry may have expired during an outage
-/// of the source, and a live server's entry is back about two seconds after the source is. Until
-/// then requests go to the server if its service has no other.
+/// of the source, and a running server's entry reappears about two seconds after the source does.
+/// Until then requests go to the server if its service has no other.
 const VANISHED_GRACE: Duration = Duration::from_millis(2500);
 /// Default time after which an entry expires that its server does not renew.
 const ENTRY_LIFETIME: Duration = Duration::from_millis(4500);
@@ -52,7 +52,7 @@
 
 /// Servers whose entries are missing, and servers that only a restored backup lists.
 #[derive(Clone, Debug)]
-pub(super) struct Departures {
+pub(super) struct DepartedServers {
     vanished: BTreeMap<InstanceId, Vanished>,
     removed: BTreeMap<InstanceId, LastEntry>,
     /// The keys of `removed`, oldest removal first.
@@ -63,17 +63,17 @@
     entry_lifetime: Duration,
 }
 
-impl Default for Departures {
+impl Default for DepartedServers {
     fn default() -> Self {
-        Departures::new(ENTRY_LIFETIME)
+        DepartedServers::new(ENTRY_LIFETIME)
     }
 }
 
-impl Departures {
+impl DepartedServers {
     /// Creates an empty record for a source whose entries expire `entry_lifetime` after their last
     /// renewal.
     pub(super) fn new(entry_lifetime: Duration) -> Self {
-        Departures {
+        DepartedServers {
             vanished: BTreeMap::new(),
             removed: BTreeMap::new(),
             removal_order: VecDeque::new(),
@@ -166,7 +166,7 @@
     }
 
     /// The recently vanished servers whose entries the source lost by a restore. They stay in use
-    /// until a live server would have rewritten its entry.
+    /// until a running server would have rewritten its entry.
     pub(super) fn lost_by_restore(&self) -> impl Iterator<Item = &ServerInstance> {
         let lost = self.vanished_ready();
         let lost = lost.filter(|vanished| vanished.reason == MissingReason::LostByRestore);
--- a/crates/coordination/tests/mesh_routes.rs
+++ b/crates/coordination/tests/mesh_routes.rs
@@ -8,7 +8,7 @@
 use lifthollow_state::mesh::{
     Change, ConfigurationError, KnownServer, ServerInstance, ServerState, Snapshot,
 };
-use mesh_support::{at, at_revision, configuration, id, part, random, route, server};
+use mesh_support::{at, at_revision, configuration, destination, id, random, route, server};
 
 #[test]
 fn longest_prefix_of_the_host_wins() {
@@ -36,7 +36,7 @@
 #[test]
 fn every_sequence_of_requests_is_split_by_weight() {
     let mut split_route = route("split", "/");
-    split_route.destinations = vec![part("feeds", 90), part("media", 10)];
+    split_route.destinations = vec![destination("feeds", 90), destination("media", 10)];
     let mut split = WeightedSplit::default();
     let mut random = random();
     let chosen: Vec<bool> = (0..1000)
@@ -54,7 +54,7 @@
 #[test]
 fn destination_without_weight_gets_no_requests() {
     let mut split_route = route("split", "/");
-    split_route.destinations = vec![part("feeds", 0), part("media", 5)];
+    split_route.destinations = vec![destination("feeds", 0), destination("media", 5)];
     let mut split = WeightedSplit::default();
     let mut random = random();
     assert!((0..50).all(|_| split.choose(&split_route, &mut random) == "media"));
@@ -63,7 +63,7 @@
 #[test]
 fn nodes_start_their_splits_at_different_points() {
     let mut split_route = route("split", "/");
-    split_route.destinations = vec![part("feeds", 50), part("media", 50)];
+    split_route.destinations = vec![destination("feeds", 50), destination("media", 50)];
     let mut random = random();
     let starting_with_media =
         (0..400).filter(|_| WeightedSplit::default().choose(&split_route, &mut random) == "media");
@@ -82,7 +82,7 @@
     let applied = store.apply(at(0), at_revision(10), Change::Configuration(newer));
     assert_eq!(applied, Applied::Configuration);
     let applied = store.apply(at(1), at_revision(11), Change::Configuration(older.clone()));
-    assert_eq!(applied, Applied::Nothing);
+    assert_eq!(applied, Applied::Unchanged);
     let snapshot = Snapshot {
         revision: at_revision(12),
         configuration: Some(older),
@@ -125,12 +125,12 @@
         Change::Configuration(configuration(1, vec![route("r", "/")])),
     );
     let mut bare = route("bare", "a");
-    bare.destinations = vec![part("unheard-of", 1)];
+    bare.destinations = vec![destination("unheard-of", 1)];
     let mut idle = route("idle", "/b/");
-    idle.destinations = vec![part("feeds", 0)];
+    idle.destinations = vec![destination("feeds", 0)];
     idle.max_attempts = 0;
     let broken = configuration(2, vec![bare, idle]);
-    let Applied::Refused(findings) =
+    let Applied::Rejected(findings) =
         store.apply(at(1), at_revision(2), Change::Configuration(broken))
     else {
         panic!("the configuration was not refused");
@@ -168,7 +168,7 @@
     draining.state = ServerState::Draining;
     apply_entry(&mut store, 1, 8, draining);
     let applied = apply_entry(&mut store, 2, 6, server("i-1", "a", 1));
-    assert_eq!(applied, Applied::Nothing);
+    assert_eq!(applied, Applied::Unchanged);
     assert!(!store.snapshot().servers[&id("i-1")].instance.is_ready());
 }
 
@@ -184,12 +184,12 @@
 #[test]
 fn vanished_server_is_kept_until_it_would_have_returned() {
     let mut store = store_whose_server_vanished();
-    assert!(!store.forget_vanished(at(3_000), Some(at(0))));
+    assert!(!store.expire_vanished(at(3_000), Some(at(0))));
     assert_eq!(store.recently_vanished().len(), 1);
-    assert!(store.forget_vanished(at(3_600), Some(at(0))));
+    assert!(store.expire_vanished(at(3_600), Some(at(0))));
     assert!(store.recently_vanished().is_empty());
     assert!(
-        !store.forget_vanished(at(3_600), Some(at(0))),
+        !store.expire_vanished(at(3_600), Some(at(0))),
         "no vanished server is left"
     );
 }
@@ -198,18 +198,18 @@
 fn vanished_server_is_kept_until_the_source_was_reachable_for_a_while() {
     let mut store = store_whose_server_vanished();
     assert!(
-        !store.forget_vanished(at(60_000), None),
+        !store.expire_vanished(at(60_000), None),
         "the source is unreachable"
     );
-    assert!(!store.forget_vanished(at(62_000), Some(at(60_000))));
-    assert!(store.forget_vanished(at(62_600), Some(at(60_000))));
+    assert!(!store.expire_vanished(at(62_000), Some(at(60_000))));
+    assert!(store.expire_vanished(at(62_600), Some(at(60_000))));
 }
 
 #[test]
 fn server_that_returned_is_no_longer_vanished() {
     let mut store = store_whose_server_vanished();
     apply_entry(&mut store, 2500, 7, server("i-1", "a", 1));
-    assert!(!store.forget_vanished(at(9_000), Some(at(0))));
+    assert!(!store.expire_vanished(at(9_000), Some(at(0))));
     assert_eq!(ids_in_force(&store), ["i-1"]);
 }
 
@@ -229,7 +229,7 @@
 }
 
 fn ids_in_force(store: &SnapshotStore) -> Vec<String> {
-    let servers = store.servers_in_force();
+    let servers = store.active_servers();
     servers.iter().map(|server| server.id.to_string()).collect()
 }
 
@@ -266,7 +266,7 @@
     draining.state = ServerState::Draining;
     apply_entry(&mut store, 1, 6, draining);
     assert_eq!(ids_in_force(&store), ["i-new"]);
-    assert!(!store.servers_in_force()[0].is_ready());
+    assert!(!store.active_servers()[0].is_ready());
 }
 
 #[test]
--- a/crates/coordination/tests/retry_bound.rs
+++ b/crates/coordination/tests/retry_bound.rs
@@ -1,5 +1,6 @@
-//! The retries of one whole request never exceed what its entry granted,
-//! whatever the shape of its tree, the order of events and the failures.
+//! Tests that the retries of one whole request never exceed the allowance granted
+//! at its entry, whatever the shape of its tree, the order of events and the
+//! failures.
 
 mod support;
 
@@ -22,31 +23,33 @@
 use quickcheck::quickcheck;
 use support::{at, context, node, row};
 
-/// Services in a chain; each calls the next.
+/// Number of services in the chain; each calls the next.
 const DEPTH: usize = 5;
-/// Servers of each service.
+/// Number of servers of each service.
 const SERVERS: u16 = 3;
-/// Parallel calls of each run, at most.
+/// Largest number of parallel calls made by one run.
 const MAX_FAN_OUT: usize = 3;
-const ENTRY: usize = 0;
-/// When calls begin: by then a node that hears no peer has taken the platform's
-/// table into force.
-const BEGIN_MILLIS: u64 = 3_000;
+/// Index of the node at which requests enter.
+const ENTRY_NODE: usize = 0;
+/// When calls begin: by then a node without contact to a peer applies the platform's
+/// table.
+const START_MILLIS: u64 = 3_000;
 const WAKE_INTERVAL_MILLIS: usize = 100;
 
-/// What can still happen.
+/// An event that can still happen; indexes of nodes are those of
+/// [`ServiceChain::nodes`].
 enum Pending {
-    Arrive {
+    AttemptArrives {
         to: usize,
         from: usize,
         attempt: AttemptId,
         message: Attempt,
     },
-    Run {
+    StartRun {
         at: usize,
         id: InboundId,
     },
-    Finish {
+    FinishRun {
         at: usize,
         id: InboundId,
     },
@@ -57,8 +60,9 @@
     },
 }
 
-/// All nodes of the chain, with every choice taken from a list of bytes.
-struct World {
+/// All nodes of the chain and the events between them; every choice is taken from a
+/// list of bytes.
+struct ServiceChain {
     nodes: Vec<Node>,
     choices: Vec<u8>,
     cursor: usize,
@@ -73,7 +77,8 @@
     ServiceName::new(&format!("service-{depth}"))
 }
 
-/// The entry node comes first, then the servers of each service.
+/// The index of a server's node: the entry node comes first, then the servers of
+/// each service in order.
 fn index_of(server: NodeId) -> usize {
     usize::from(server.address().port()) - 1
 }
@@ -116,15 +121,15 @@
     made.handle(at(0), NodeEvent::Fleet(fetched), &mut effects);
     let listed = FleetEvent::MachinesFetched(Ok(machines.to_vec()));
     made.handle(at(0), NodeEvent::Fleet(listed), &mut effects);
-    for millis in (0..BEGIN_MILLIS).step_by(WAKE_INTERVAL_MILLIS) {
+    for millis in (0..START_MILLIS).step_by(WAKE_INTERVAL_MILLIS) {
         made.handle(at(millis), NodeEvent::Wake, &mut effects);
     }
     made
 }
 
-impl World {
+impl ServiceChain {
     fn new(choices: Vec<u8>) -> Self {
-        World {
+        ServiceChain {
             nodes: make_nodes(),
             choices,
             cursor: 0,
@@ -136,23 +141,23 @@
         }
     }
 
-    /// The next choice below `bound`; zero once the list is used up.
+    /// The next choice, below `bound`; zero once the list is used up.
     fn choose(&mut self, bound: usize) -> usize {
         let choice = self.choices.get(self.cursor).copied().unwrap_or(0);
         self.cursor += 1;
         usize::from(choice) % bound
     }
 
-    fn call(
+    fn make_call(
         &mut self,
         from: usize,
         depth: usize,
         parent: Option<InboundId>,
-        granted: RetryAllowance,
+        allowance: RetryAllowance,
     ) {
         self.next_id += 1;
-        let mut context = context(PriorityClass::Normal, 64, at(BEGIN_MILLIS + 1000));
-        context.allowance = granted;
+        let mut context = context(PriorityClass::Normal, 64, at(START_MILLIS + 1000));
+        context.allowance = allowance;
         let description = Call {
             service: service_at(depth),
             context,
@@ -167,17 +172,17 @@
 
     fn handle(&mut self, index: usize, event: NodeEvent) {
         let mut effects = Vec::new();
-        self.nodes[index].handle(at(BEGIN_MILLIS), event, &mut effects);
+        self.nodes[index].handle(at(START_MILLIS), event, &mut effects);
         for effect in effects {
             match effect {
-                NodeEffect::Outbound(effect) => self.outbound_effect(index, effect),
-                NodeEffect::Inbound(effect) => self.inbound_effect(index, effect),
+                NodeEffect::Outbound(effect) => self.carry_out_outbound(index, effect),
+                NodeEffect::Inbound(effect) => self.carry_out_inbound(index, effect),
                 NodeEffect::Fleet(_) => {}
             }
         }
     }
 
-    fn outbound_effect(&mut self, from: usize, effect: OutboundEffect) {
+    fn carry_out_outbound(&mut self, from: usize, effect: OutboundEffect) {
         if let OutboundEffect::Dispatch {
             call,
             attempt,
@@ -196,7 +201,7 @@
                 from: node(from as u16 + 1),
                 body_digest: 0,
             };
-            self.pending.push(Pending::Arrive {
+            self.pending.push(Pending::AttemptArrives {
                 to,
                 from,
                 attempt,
@@ -205,22 +210,22 @@
         }
     }
 
-    fn inbound_effect(&mut self, at: usize, effect: InboundEffect) {
+    fn carry_out_inbound(&mut self, at: usize, effect: InboundEffect) {
         match effect {
             InboundEffect::Run { id, .. } | InboundEffect::RunClaimed { id, .. } => {
-                self.pending.push(Pending::Run { at, id });
+                self.pending.push(Pending::StartRun { at, id });
             }
-            InboundEffect::Answer { id, result } => self.answer(at, id, result),
+            InboundEffect::Answer { id, result } => self.send_answer(at, id, result),
             InboundEffect::CancelRun { .. } | InboundEffect::Replay { .. } => {}
         }
     }
 
-    /// The answer goes back with what is unspent, or is lost with it.
-    fn answer(&mut self, at: usize, id: InboundId, result: AttemptResult) {
+    /// Sends the answer back with the unspent allowance, or loses both.
+    fn send_answer(&mut self, at: usize, id: InboundId, result: AttemptResult) {
         let Some((to, attempt)) = self.callers.remove(&(at, id)) else {
             return;
         };
-        let unspent = self.nodes[at].settle_allowance(id);
+        let unspent = self.nodes[at].close_allowance(id);
         let lost = self.choose(4) == 0;
         let (result, unspent) = if lost {
             let reason = RefusalReason::AnswerLost;
@@ -240,17 +245,17 @@
         });
     }
 
-    fn step(&mut self) {
+    fn handle_next(&mut self) {
         let next = self.choose(self.pending.len());
         match self.pending.swap_remove(next) {
-            Pending::Arrive {
+            Pending::AttemptArrives {
                 to,
                 from,
                 attempt,
                 message,
             } => self.arrive(to, from, attempt, message),
-            Pending::Run { at, id } => self.run(at, id),
-            Pending::Finish { at, id } => self.finish(at, id),
+            Pending::StartRun { at, id } => self.start_run(at, id),
+            Pending::FinishRun { at, id } => self.finish_run(at, id),
             Pending::Answer {
                 to,
                 attempt,
@@ -273,18 +278,18 @@
         self.handle(to, NodeEvent::Inbound(event));
     }
 
-    /// A run makes its calls in parallel and may end before they do.
-    fn run(&mut self, at: usize, id: InboundId) {
+    /// Starts a run, which makes its calls in parallel and may end before they do.
+    fn start_run(&mut self, at: usize, id: InboundId) {
         let depth = depth_of(at) + 1;
-        self.pending.push(Pending::Finish { at, id });
+        self.pending.push(Pending::FinishRun { at, id });
         if depth < DEPTH {
             for _ in 0..self.choose(MAX_FAN_OUT + 1) {
-                self.call(at, depth, Some(id), RetryAllowance(9));
+                self.make_call(at, depth, Some(id), RetryAllowance(9));
             }
         }
     }
 
-    fn finish(&mut self, at: usize, id: InboundId) {
+    fn finish_run(&mut self, at: usize, id: InboundId) {
         let result = match self.choose(4) {
             0 => RunResult::Lost,
             1 => RunResult::Refused {
@@ -298,14 +303,14 @@
         self.handle(at, NodeEvent::Inbound(InboundEvent::RunClosed { id }));
     }
 
-    /// Runs one request and its client's repeats; returns the retries made.
-    fn retries(&mut self, client_attempts: u32) -> u32 {
+    /// Runs one request and its client's repeats; returns the number of retries made.
+    fn run_request(&mut self, client_attempts: u32) -> u32 {
         for attempt in 1..=client_attempts {
-            self.call(ENTRY, 0, None, entry_allowance(AttemptNumber(attempt)));
+            self.make_call(ENTRY_NODE, 0, None, entry_allowance(AttemptNumber(attempt)));
         }
         let mut steps = 0;
         while !self.pending.is_empty() && steps < 5000 {
-            self.step();
+            self.handle_next();
             steps += 1;
         }
         self.retries
@@ -313,19 +318,19 @@
 }
 
 quickcheck! {
-    fn retries_never_exceed_the_grant(choices: Vec<u8>, client_attempts: u8) -> bool {
-        let mut world = World::new(choices);
-        world.retries(1 + u32::from(client_attempts % 3)) <= 3
+    fn retries_never_exceed_the_entry_allowance(choices: Vec<u8>, client_attempts: u8) -> bool {
+        let mut chain = ServiceChain::new(choices);
+        chain.run_request(1 + u32::from(client_attempts % 3)) <= 3
     }
 }
 
 #[test]
-fn failures_are_retried_at_all() {
-    let most = (0..200_u32).map(|seed| {
+fn failures_are_retried_up_to_the_entry_allowance() {
+    let retries_by_seed = (0..200_u32).map(|seed| {
         let choices = (0..200_u32)
             .map(|step| ((seed * 7919 + step * 104_729) >> 3) as u8)
             .collect();
-        World::new(choices).retries(1)
+        ServiceChain::new(choices).run_request(1)
     });
-    assert_eq!(most.max(), Some(3));
+    assert_eq!(retries_by_seed.max(), Some(3));
 }
--- a/crates/coordination/tests/routing.rs
+++ b/crates/coordination/tests/routing.rs
@@ -1,5 +1,5 @@
-//! Choice of servers, retries and final answers, under the failure each
-//! decision is meant for.
+//! Tests of the choice of servers, retries and final answers, each under the kind
+//! of failure that the decision handles.
 
 mod support;
 
@@ -10,15 +10,18 @@
 use lifthollow_coordination::outbound::{CallAnswer, OutboundEffect, OutboundEvent};
 use lifthollow_protocol::{AdmissionLevel, AttemptResult, RefusalReason};
 use lifthollow_state::{NodeId, Priority, PriorityClass};
-use support::{OutboundDriver, SUCCESS, answered, at, context, load, node, refused, sent, view};
+use support::{
+    OutboundDriver, SUCCESS, at, call_answer, context, load, node, refused, sent_attempt, view,
+};
 
 const OPEN: AdmissionLevel = AdmissionLevel::OPEN;
 
-/// Calls every 5 ms, answered by all servers but those in `silent`, which
-/// accept and never answer; returns how many calls each server got lately.
-fn run_with_silent(
+/// Makes `calls` calls, one every 5 ms beginning at `from` milliseconds. All
+/// servers answer but those in `unresponsive`, which accept calls and never answer.
+/// Returns the server that each call was sent to.
+fn run_with_unresponsive(
     driver: &mut OutboundDriver,
-    silent: &[NodeId],
+    unresponsive: &[NodeId],
     from: u64,
     calls: u64,
 ) -> Vec<NodeId> {
@@ -28,7 +31,7 @@
         driver.event(now, OutboundEvent::Wake);
         let attempt = driver.send(now);
         used.push(attempt.server);
-        if !silent.contains(&attempt.server) {
+        if !unresponsive.contains(&attempt.server) {
             driver.answer(
                 at(from + number * 5 + 4),
                 attempt.attempt,
@@ -41,53 +44,59 @@
 }
 
 #[test]
-fn server_that_accepts_and_never_answers_is_left_out() {
+fn server_that_accepts_and_never_answers_gets_almost_no_calls() {
     let mut driver = OutboundDriver::new(view((1, 0), 3, 0));
-    run_with_silent(&mut driver, &[], 0, 500);
-    let gray = node(2);
-    run_with_silent(&mut driver, &[gray], 2500, 100);
-    let used = run_with_silent(&mut driver, &[gray], 3000, 100);
-    let to_gray = used.iter().filter(|server| **server == gray).count();
+    run_with_unresponsive(&mut driver, &[], 0, 500);
+    let unresponsive_server = node(2);
+    run_with_unresponsive(&mut driver, &[unresponsive_server], 2500, 100);
+    let used = run_with_unresponsive(&mut driver, &[unresponsive_server], 3000, 100);
+    let to_unresponsive = used
+        .iter()
+        .filter(|server| **server == unresponsive_server)
+        .count();
     assert!(
-        to_gray <= 2,
-        "{to_gray} of 100 calls went to the silent server"
+        to_unresponsive <= 2,
+        "{to_unresponsive} of 100 calls went to the server that does not answer"
     );
 }
 
 #[test]
-fn side_that_fell_silent_is_replaced_by_the_other() {
+fn side_that_stops_answering_gets_almost_no_calls() {
     let mut driver = OutboundDriver::new(view((1, 1), 3, 3));
-    run_with_silent(&mut driver, &[], 0, 500);
+    run_with_unresponsive(&mut driver, &[], 0, 500);
     let new_side: Vec<NodeId> = (101..104).map(node).collect();
-    run_with_silent(&mut driver, &new_side, 2500, 100);
-    let used = run_with_silent(&mut driver, &new_side, 3000, 200);
+    run_with_unresponsive(&mut driver, &new_side, 2500, 100);
+    let used = run_with_unresponsive(&mut driver, &new_side, 3000, 200);
     let lost = used
         .iter()
         .filter(|server| new_side.contains(server))
         .count();
-    assert!(lost <= 6, "{lost} of 200 calls went to the silent side");
+    assert!(
+        lost <= 6,
+        "{lost} of 200 calls went to the side that does not answer"
+    );
 }
 
 #[test]
-fn call_that_cannot_be_repeated_avoids_a_server_that_owes_an_answer() {
+fn call_that_cannot_be_repeated_is_not_sent_to_a_server_that_owes_an_answer() {
     let mut driver = OutboundDriver::new(view((1, 0), 3, 0));
-    run_with_silent(&mut driver, &[], 0, 500);
-    let gray = node(2);
-    let used = run_with_silent(&mut driver, &[gray], 2500, 8);
-    assert!(used.contains(&gray));
+    run_with_unresponsive(&mut driver, &[], 0, 500);
+    let unresponsive_server = node(2);
+    let used = run_with_unresponsive(&mut driver, &[unresponsive_server], 2500, 8);
+    assert!(used.contains(&unresponsive_server));
     driver.event(at(2510), OutboundEvent::Wake);
     for number in 0..20 {
         let now = at(2600 + number);
         let critical = context(PriorityClass::Critical, 64, now + Duration::from_secs(1));
         let effects = driver.call(now, critical, false);
-        let attempt = sent(&effects).expect("sent");
-        assert_ne!(attempt.server, gray);
+        let attempt = sent_attempt(&effects).expect("sent");
+        assert_ne!(attempt.server, unresponsive_server);
         driver.answer(now, attempt.attempt, SUCCESS, Some(load(OPEN)));
     }
 }
 
 #[test]
-fn failures_of_all_servers_eject_none() {
+fn no_server_is_ejected_when_all_servers_fail() {
     let mut driver = OutboundDriver::new(view((1, 0), 3, 0));
     let failure = AttemptResult::Completed { success: false };
     let mut used = BTreeSet::new();
@@ -96,7 +105,8 @@
         driver.event(now, OutboundEvent::Wake);
         let deadline = now + Duration::from_secs(1);
         let effects = driver.call(now, context(PriorityClass::Normal, 64, deadline), false);
-        let attempt = sent(&effects).expect("no server is left out");
+        let attempt = sent_attempt(&effects)
+            .expect("the call was not sent although no server may be ejected");
         if number >= 150 {
             used.insert(attempt.server);
         }
@@ -106,7 +116,7 @@
 }
 
 #[test]
-fn retry_goes_to_another_server_and_only_when_safe() {
+fn refused_attempt_is_retried_on_another_server_and_unsafe_retry_is_not_sent() {
     let mut driver = OutboundDriver::new(view((1, 0), 3, 0));
     let first = driver.send(at(0));
     let effects = driver.answer(
@@ -115,31 +125,36 @@
         refused(RefusalReason::QueueFull),
         None,
     );
-    let second = sent(&effects).expect("known not to have run");
+    let second =
+        sent_attempt(&effects).expect("a refused attempt, known not to have run, was not retried");
     assert_ne!(second.server, first.server);
 
     let effects = driver.call(at(2), context(PriorityClass::Critical, 0, at(1000)), false);
-    let charge = sent(&effects).expect("sent");
+    let critical_attempt = sent_attempt(&effects).expect("sent");
     let lost = AttemptResult::Unknown {
         reason: RefusalReason::AnswerLost,
     };
-    let effects = driver.answer(at(3), charge.attempt, lost, None);
-    assert!(sent(&effects).is_none(), "it may have run");
+    let effects = driver.answer(at(3), critical_attempt.attempt, lost, None);
+    assert!(
+        sent_attempt(&effects).is_none(),
+        "a call that is not repeatable and may have run was retried"
+    );
     assert!(matches!(
-        answered(&effects),
+        call_answer(&effects),
         Some(CallAnswer::Unknown { .. })
     ));
 }
 
 #[test]
-fn call_that_may_have_run_once_is_never_called_not_run() {
+fn call_that_may_have_run_is_never_answered_as_not_run() {
     let mut driver = OutboundDriver::new(view((1, 0), 2, 0));
     let first = driver.send(at(0));
     let lost = AttemptResult::Unknown {
         reason: RefusalReason::AnswerLost,
     };
     let effects = driver.answer(at(1), first.attempt, lost, None);
-    let second = sent(&effects).expect("it is repeatable");
+    let second =
+        sent_attempt(&effects).expect("a repeatable call whose answer was lost was not retried");
     let effects = driver.answer(
         at(2),
         second.attempt,
@@ -147,7 +162,7 @@
         None,
     );
     assert!(matches!(
-        answered(&effects),
+        call_answer(&effects),
         Some(CallAnswer::Unknown { .. })
     ));
 }
@@ -163,10 +178,10 @@
         loop {
             let refusal = refused(RefusalReason::QueueFull);
             let effects = driver.answer(now, attempt.attempt, refusal, None);
-            let Some(retry) = sent(&effects) else {
+            let Some(retry) = sent_attempt(&effects) else {
                 assert!(
-                    answered(&effects).is_some(),
-                    "the final answer comes at once"
+                    call_answer(&effects).is_some(),
+                    "a call without a further retry was not answered at once"
                 );
                 break;
             };
@@ -192,28 +207,28 @@
     driver.answer(at(1), first.attempt, SUCCESS, Some(load(level)));
     let normal = context(PriorityClass::Normal, 127, at(1000));
     let effects = driver.call(at(2), normal, true);
-    assert!(sent(&effects).is_none());
+    assert!(sent_attempt(&effects).is_none());
     assert!(matches!(
-        answered(&effects),
+        call_answer(&effects),
         Some(CallAnswer::NotRun { .. })
     ));
     let critical = context(PriorityClass::Critical, 0, at(1000));
-    assert!(sent(&driver.call(at(2), critical, true)).is_some());
+    assert!(sent_attempt(&driver.call(at(2), critical, true)).is_some());
     let later = context(PriorityClass::Normal, 127, at(9000));
     assert!(
-        sent(&driver.call(at(2000), later, true)).is_some(),
-        "old news"
+        sent_attempt(&driver.call(at(2000), later, true)).is_some(),
+        "an expired load report still caused a refusal"
     );
 }
 
 #[test]
-fn refused_callers_are_told_different_times() {
+fn refused_callers_get_different_retry_after_times() {
     let mut driver = OutboundDriver::new(view((1, 0), 0, 0));
     let mut times = BTreeSet::new();
     for _ in 0..100 {
         let effects = driver.call(at(0), context(PriorityClass::Normal, 64, at(1000)), true);
-        let Some(CallAnswer::NotRun { retry_after, .. }) = answered(&effects) else {
-            panic!("there is no server");
+        let Some(CallAnswer::NotRun { retry_after, .. }) = call_answer(&effects) else {
+            panic!("the call was not answered as not run although there is no server");
         };
         times.insert(retry_after);
     }
@@ -240,26 +255,37 @@
                 break;
             }
         }
-        // At least one of two calls is given to the side that refuses.
+        // The weights assign at least one of two calls to the side that refuses.
         for _ in 0..2 {
             let normal = context(PriorityClass::Normal, 64, at(1000));
             let effects = driver.call(at(30), normal, true);
-            assert_eq!(sent(&effects).is_some(), spills, "weights {weights:?}");
+            assert_eq!(
+                sent_attempt(&effects).is_some(),
+                spills,
+                "weights {weights:?}"
+            );
         }
         let report = &driver.policy.reports(at(30), &driver.view)[0];
         let spilled: u64 = report.sides.iter().map(|side| side.counts.spilled).sum();
-        assert_eq!(spilled > 0, spills, "operators are told");
+        assert_eq!(
+            spilled > 0,
+            spills,
+            "the report counts {spilled} spilled calls"
+        );
     }
 }
 
 #[test]
-fn deadline_that_passes_is_answered_in_that_moment_and_cancelled() {
+fn call_is_answered_and_its_attempt_cancelled_when_its_deadline_passes() {
     let mut driver = OutboundDriver::new(view((1, 0), 1, 0));
     let first = driver.send(at(0));
     let mut due = at(0);
     let mut effects = Vec::new();
     while effects.is_empty() {
-        due = driver.policy.next_wake().expect("the call is watched");
+        due = driver
+            .policy
+            .next_wake()
+            .expect("a call in progress has no timer");
         effects = driver.event(due, OutboundEvent::Wake);
     }
     assert_eq!(due, at(1000));
@@ -268,13 +294,13 @@
     };
     assert_eq!(effects[0], cancel);
     assert!(matches!(
-        answered(&effects),
+        call_answer(&effects),
         Some(CallAnswer::Unknown { .. })
     ));
 }
 
 #[test]
-fn leaving_server_gets_nothing_new() {
+fn leaving_server_gets_no_new_attempts() {
     let mut driver = OutboundDriver::new(view((1, 0), 2, 0));
     let first = driver.send(at(0));
     let mut report = load(OPEN);
--- a/crates/ctl/tests/log_commands.rs
+++ b/crates/ctl/tests/log_commands.rs
@@ -1,4 +1,4 @@
-//! `lifthollowctl causes`, run as a program.
+//! Tests of `lifthollowctl causes`, run as a process.
 
 mod support;
 
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_log_that_is_not_there_is_named() {
+fn missing_log_file_is_named_in_the_error() {
     let run = ctl(&["causes", "/nowhere/node.log"]);
     assert_eq!(run.code, 4);
     assert!(run.errors.contains("/nowhere/node.log"), "{}", run.errors);
--- a/crates/proxy/src/inbound/crash_detector.rs
+++ b/crates/proxy/src/inbound/crash_detector.rs
@@ -35,7 +35,7 @@
 /// their answers meanwhile. Resolves to true if none listens.
 type ListenCheck = Shared<LocalBoxFuture<'static, bool>>;
 
-/// Detects crashes of the server beside this node.
+/// Detects crashes of the local server.
 #[derive(Default)]
 pub struct CrashDetector {
     /// The server instance whose crash was detected last.
@@ -125,7 +125,9 @@
 fn record_crash(node: &Rc<Node>, server: &InstanceId) {
     let contents = {
         let mut state = node.state.borrow_mut();
-        state.server_runs.crashed(node.now(), server)
+        state
+            .server_runs
+            .take_suspected_contents(node.now(), server)
     };
     if contents.is_empty() {
         // The server ran no request: it has not started yet, or stopped long ago.
--- a/crates/proxy/src/inbound/server_notice.rs
+++ b/crates/proxy/src/inbound/server_notice.rs
@@ -1,4 +1,4 @@
-//! Reads, logs and counts what the server beside this node reports about itself in its answers:
+//! Reads, logs and counts what the local server reports about itself in its answers:
 //! its request rate limit, and whether it is leaving.
 
 use std::cell::RefCell;
@@ -18,7 +18,7 @@
 /// once. Once the memory is full, further values are not logged.
 const MAX_REMEMBERED_INVALID_LIMITS: usize = 32;
 
-/// What has been logged about the notices of the server beside this node.
+/// Log state for the notices of the local server.
 #[derive(Default)]
 pub struct NoticeLog {
     /// The server's notice that was logged last.
@@ -46,17 +46,17 @@
     let has_changed = log_change(node, server, notice);
     let now = node.now();
     let mut state = node.state.borrow_mut();
-    let started = state.admission.server_noticed(now, server, notice);
+    let started = state.admission.record_notice(now, server, notice);
     node.start_waiting(&mut state, started);
     if has_changed {
-        let cannot_start = state.admission.waiting_in_vain(now);
+        let cannot_start = state.admission.waits_exceeding_patience(now);
         node.refuse_waiting(&mut state, &cannot_start);
     }
 }
 
 fn is_leaving(node: &Rc<Node>, headers: &HeaderMap) -> bool {
     let value = headers.get(&node.names.server_leaving);
-    value.is_some_and(|value| value == node.names.leaving_word)
+    value.is_some_and(|value| value == node.names.leaving_value)
 }
 
 /// Parses the request rate limit that the server's answer names; none if it names none or an
--- a/crates/proxy/src/inbound/server_run.rs
+++ b/crates/proxy/src/inbound/server_run.rs
@@ -1,4 +1,4 @@
-//! Sends an attempt to the server beside this node and classifies the server's answer.
+//! Sends an attempt to the local server and classifies the server's answer.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 use crate::peer_headers;
 
 /// Answers up to this size, in bytes, are buffered whole before any part is forwarded, so that
-/// the attempt can still be repeated at another server if the answer breaks off.
+/// the attempt can still be retried at another server if the answer is interrupted.
 const MAX_BUFFERED_ANSWER_BYTES: usize = 256 * 1024;
 
 /// Sends an admitted attempt to the server and reads the server's answer.
@@ -36,14 +36,14 @@
     peer_headers::strip(headers);
     headers.insert(&names.deadline_ms, milliseconds_value(left));
     let id = headers.get(&names.request_id).cloned();
-    let reuse = if attempt.terms.may_repeat {
+    let reuse = if attempt.terms.may_retry {
         Reuse::Any
     } else {
         Reuse::Recent
     };
     let connections = &node.server_connections;
     if node.is_own_server_silent() {
-        // The idle connections may be silent rather than the server. With twelve silent
+        // The idle connections may be unresponsive rather than the server. With twelve unresponsive
         // connections tried one after another, requests were answered again after 4.6 s; on a
         // new connection, within 1.5 s (test `silent_connections`).
         connections.close_idle(node.settings.server_address);
@@ -60,7 +60,10 @@
     let (response, lease) = match sent {
         Ok(answered) => answered,
         Err(SendError::NotSent(error)) => {
-            node.state.borrow_mut().server_runs.not_run(permit.run);
+            node.state
+                .borrow_mut()
+                .server_runs
+                .remove_unstarted(permit.run);
             crash_detector::note_refused(node, &server, &error);
             return AttemptOutcome::not_run(NotRunReason::ServerUnreachable);
         }
@@ -81,7 +84,10 @@
         return AttemptOutcome::unknown(UnknownReason::AnswerInvalid);
     }
     if let Some(end) = server_refusal(node, response.status(), response.headers()) {
-        node.state.borrow_mut().server_runs.not_run(permit.run);
+        node.state
+            .borrow_mut()
+            .server_runs
+            .remove_unstarted(permit.run);
         if is_misdirected {
             // Another server instance listens at the address: the intended one has failed no run.
             permit.end = RunEnd::Abandoned;
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -17,17 +17,17 @@
     pub requests: IntCounterVec,
     /// Time from a request's arrival to its answer.
     pub request_duration: Histogram,
-    /// Attempts for the server beside this node, by how they ended.
+    /// Attempts for the local server, by how they ended.
     pub attempts: IntCounterVec,
-    /// Time that the server beside this node took to answer.
+    /// Time that the local server took to answer.
     pub server_duration: Histogram,
-    /// Requests that reached the server beside this node.
+    /// Requests that reached the local server.
     pub server_requests: IntCounter,
-    /// What the server beside this node reports about itself in its answers.
+    /// What the local server reports about itself in its answers.
     pub server_notice: ServerNoticeMetrics,
-    /// Attempts that were repeats.
-    pub repeats: IntCounter,
-    /// Crashes of the server beside this node.
+    /// Attempts that were retries.
+    pub retries: IntCounter,
+    /// Crashes of the local server.
     pub server_crashes: IntCounter,
     /// Number of request contents that are suspected or proven to crash servers.
     pub suspects: IntGaugeVec,
@@ -44,25 +44,25 @@
     pub changes: IntCounterVec,
     /// Calls to the source, by what they are for.
     pub source_calls: IntCounterVec,
-    /// Requests running at and waiting for the server beside this node, and its concurrency limit.
+    /// Requests running at and waiting for the local server, and its concurrency limit.
     pub load: IntGaugeVec,
-    /// Number of connections opened, to the server beside this node and to other nodes.
+    /// Number of connections opened, to the local server and to other nodes.
     pub connections: IntGaugeVec,
     /// Log lines left out by the rate limit of the log.
     pub log_lines_left_out: IntCounter,
 }
 
-/// Metrics of what the server beside this node reports about itself in its answers.
+/// Metrics of what the local server reports about itself in its answers.
 pub struct ServerNoticeMetrics {
-    /// Rate limit that the server names, in requests a second; [`NO_LIMIT`] if it names none.
+    /// Rate limit that the server announces, in requests a second; [`NO_LIMIT`] if it announces none.
     pub limit: Gauge,
-    /// Since when the server has named a rate limit, in Unix seconds; 0 if it names none.
+    /// Since when the server has announced a rate limit, in Unix seconds; 0 if it announces none.
     pub limited_since: Gauge,
     /// Whether the server is leaving: 1 if so, else 0.
     pub is_leaving: IntGauge,
 }
 
-/// Value of the limit gauge for a server that names no limit.
+/// Value of the limit gauge for a server that announces no limit.
 pub const NO_LIMIT: f64 = -1.0;
 
 impl ServerNoticeMetrics {
@@ -80,7 +80,7 @@
         )?;
         let is_leaving = IntGauge::new(
             "lifthollow_server_leaving",
-            "Whether the server says in its answers that it is leaving.",
+            "Whether the server says in its answers that it leaves.",
         )?;
         registry.register(Box::new(is_leaving.clone()))?;
         Ok(ServerNoticeMetrics {
@@ -99,7 +99,7 @@
             requests: counters(
                 &registry,
                 "lifthollow_requests_total",
-                "Requests of local callers, by the outcome that the caller was answered with.",
+                "Requests of local callers, by what the caller was told.",
                 "outcome",
             )?,
             request_duration: histogram(
@@ -124,7 +124,7 @@
                 "Requests that reached the server beside this node.",
             )?,
             server_notice: ServerNoticeMetrics::new(&registry)?,
-            repeats: IntCounter::new("lifthollow_repeats_total", "Attempts that were repeats.")?,
+            retries: IntCounter::new("lifthollow_repeats_total", "Attempts that were repeats.")?,
             server_crashes: IntCounter::new(
                 "lifthollow_server_crashes_total",
                 "Crashes of the server beside this node.",
@@ -135,7 +135,7 @@
             )?,
             snapshot_era: IntGauge::new(
                 "lifthollow_snapshot_era",
-                "Era of the snapshot: how often the source has been restored from an older copy.",
+                "How often the source has come back from an older copy, as of the snapshot.",
             )?,
             snapshot_revision: IntGauge::new(
                 "lifthollow_snapshot_revision",
@@ -156,13 +156,13 @@
             load: gauges(
                 &registry,
                 "lifthollow_load",
-                "Requests running at and waiting for the server beside this node, and its concurrency limit.",
+                "Load at the server beside this node.",
                 "what",
             )?,
             suspects: gauges(
                 &registry,
                 "lifthollow_suspects",
-                "Contents of requests that may crash servers, suspected or proven.",
+                "Contents of requests that may crash servers, by what is known.",
                 "standing",
             )?,
             tenants: gauges(
@@ -174,18 +174,18 @@
             connections: gauges(
                 &registry,
                 "lifthollow_connections_opened",
-                "Connections opened, to the server beside this node and to other nodes.",
+                "Connections opened.",
                 "to",
             )?,
             log_lines_left_out: IntCounter::new(
                 "lifthollow_log_lines_left_out_total",
-                "Log lines left out by the rate limit of the log.",
+                "Log lines left out to bound their number.",
             )?,
             registry,
         };
         metrics
             .registry
-            .register(Box::new(metrics.repeats.clone()))?;
+            .register(Box::new(metrics.retries.clone()))?;
         metrics
             .registry
             .register(Box::new(metrics.server_crashes.clone()))?;
--- a/crates/proxy/src/peer_headers.rs
+++ b/crates/proxy/src/peer_headers.rs
@@ -9,7 +9,7 @@
 use lifthollow_coordination::mesh::admission_queue::Occupancy;
 use lifthollow_coordination::mesh::call::{AttemptEnd, NotRunReason, UnknownReason};
 use lifthollow_coordination::mesh::reported_load::ReportedLoad;
-use lifthollow_coordination::mesh::view_freshness::NamedAge;
+use lifthollow_coordination::mesh::view_freshness::ReportedAge;
 use lifthollow_protocol::AdmissionLevel;
 use lifthollow_state::Priority;
 use lifthollow_state::mesh::{Revision, ServerNotice, SnapshotVersion};
@@ -27,7 +27,7 @@
 /// Path at which a node answers probes: whether it and the server beside it are available.
 pub const PROBE_PATH: &str = "/lifthollow/probe";
 /// With an attempt: its [`CallTreePlace`] (admission level of its priority, whether it is nested,
-/// whether it is a repeat) and its [`AttemptTerms`].
+/// whether it is a retry) and its [`AttemptTerms`].
 pub const TREE: HeaderName = HeaderName::from_static("lifthollow-tree");
 /// With an attempt: how long it may wait in the server's queue before it runs, in milliseconds.
 pub const PATIENCE: HeaderName = HeaderName::from_static("lifthollow-patience-ms");
@@ -39,7 +39,7 @@
 pub const VIEW: HeaderName = HeaderName::from_static("lifthollow-view");
 /// Digest of the sender's reports about requests that may crash servers; missing if it has none.
 pub const SUSPECTS: HeaderName = HeaderName::from_static("lifthollow-suspects");
-/// The address at which the sender takes messages of other nodes.
+/// The address at which the sender receives messages from other nodes.
 pub const NODE: HeaderName = HeaderName::from_static("lifthollow-node");
 /// In a probe: the identifier of the request that the sender waits for. In the answer to a probe:
 /// [`IN_PROGRESS`] or [`NOT_IN_PROGRESS`].
@@ -54,8 +54,8 @@
 /// In answers: the server's notice about itself, which is its request rate limit (or [`NO_LIMIT`])
 /// and whether it is leaving; missing if it has sent neither.
 pub const SERVER_NOTICE: HeaderName = HeaderName::from_static("lifthollow-server-notice");
-/// With an attempt: the request rate limit that its server named to the sender; missing if it named
-/// none.
+/// With an attempt: the request rate limit that its server announced to the sender; missing if it
+/// announced none.
 pub const TOLD_LIMIT: HeaderName = HeaderName::from_static("lifthollow-told-limit");
 
 /// The place of an attempt in the call tree of its request.
@@ -66,7 +66,7 @@
     /// Whether the attempt is for a call that a server makes while it runs another request.
     pub is_nested: bool,
     /// Whether a server may already have run this call, or the request that the call is made for.
-    pub is_repeat: bool,
+    pub is_retry: bool,
 }
 
 /// Value of [`WAITING_FOR`] if the probed node has an attempt of the request in progress.
@@ -269,42 +269,42 @@
 }
 
 /// Formats the value of [`VIEW`].
-pub fn view_value(named: NamedAge) -> HeaderValue {
+pub fn view_value(reported: ReportedAge) -> HeaderValue {
     // A view must not appear fresher than it is: its age is rounded up, and the hold time, which
     // the receiver subtracts, is rounded down.
-    let age = named.age.as_micros().div_ceil(MICROS_IN_MILLISECOND);
-    let held = named.held.as_millis();
-    HeaderValue::try_from(format!("{age} {held}")).expect("digits and a blank")
+    let age = reported.age.as_micros().div_ceil(MICROS_IN_MILLISECOND);
+    let hold_time = reported.hold_time.as_millis();
+    HeaderValue::try_from(format!("{age} {hold_time}")).expect("digits and a blank")
 }
 
 /// Parses [`VIEW`]; none if it is missing or malformed.
-pub fn view(headers: &HeaderMap) -> Option<NamedAge> {
+pub fn view(headers: &HeaderMap) -> Option<ReportedAge> {
     let mut words = headers.get(VIEW)?.to_str().ok()?.split(' ');
     let mut next = || Some(Duration::from_millis(words.next()?.parse().ok()?));
-    Some(NamedAge {
+    Some(ReportedAge {
         age: next()?,
-        held: next()?,
+        hold_time: next()?,
     })
 }
 
-/// The zone that an attempt comes from, and whether it may be redirected or repeated.
+/// The zone that an attempt comes from, and whether it may be redirected or retried.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptTerms {
     /// The zone of the node that the request's caller sent it to.
     pub zone: String,
     /// Whether the attempt may be refused because another server has capacity for it.
-    pub may_go_elsewhere: bool,
+    pub has_alternative: bool,
     /// Whether the request may be sent again if the answer to this attempt is lost.
-    pub may_repeat: bool,
+    pub may_retry: bool,
 }
 
 /// Formats the value of [`TREE`].
 pub fn tree_value(tree: &CallTreePlace, terms: &AttemptTerms) -> HeaderValue {
     let level = AdmissionLevel::of(tree.priority).0;
     let nested = u8::from(tree.is_nested);
-    let repeat = u8::from(tree.is_repeat);
-    let elsewhere = u8::from(terms.may_go_elsewhere);
-    let again = u8::from(terms.may_repeat);
+    let repeat = u8::from(tree.is_retry);
+    let elsewhere = u8::from(terms.has_alternative);
+    let again = u8::from(terms.may_retry);
     let zone = &terms.zone;
     let text = format!("{level} {nested} {repeat} {elsewhere} {again} {zone}");
     HeaderValue::try_from(text).unwrap_or(HeaderValue::from_static(""))
@@ -321,20 +321,20 @@
     let place = CallTreePlace {
         priority: AdmissionLevel(next()).priority(),
         is_nested: next() != 0,
-        is_repeat: next() != 0,
+        is_retry: next() != 0,
     };
-    let may_go_elsewhere = next() != 0;
-    let may_repeat = next() != 0;
+    let has_alternative = next() != 0;
+    let may_retry = next() != 0;
     let terms = AttemptTerms {
         zone: words.next().unwrap_or_default().to_owned(),
-        may_go_elsewhere,
-        may_repeat,
+        has_alternative,
+        may_retry,
     };
     (place, terms)
 }
 
-/// Parses [`NODE`], the address at which the sender of a message takes messages of other nodes; none
-/// if it is missing or malformed.
+/// Parses [`NODE`], the address at which the sender of a message receives messages from other
+/// nodes; none if it is missing or malformed.
 pub fn sender(headers: &HeaderMap) -> Option<SocketAddrV4> {
     headers.get(NODE)?.to_str().ok()?.parse().ok()
 }
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probes a server that fell silent, through the node beside it, and excludes it from selection until
+//! Probes a server that stopped responding, through its node, and excludes it from selection until
 //! it answers again.
 
 use std::rc::Rc;
@@ -29,8 +29,9 @@
     Silent,
     /// The node answers and its server is available.
     Alive,
-    /// The node answers and its server is available, but the node has no attempt of the named request
-    /// in progress: the attempt never arrived, or its answer was sent on a connection that is silent.
+    /// The node answers and its server is available, but the node has no attempt of the named
+    /// request in progress: the attempt never arrived, or its answer was sent on an unresponsive
+    /// connection.
     AttemptNotFound,
 }
 
@@ -61,10 +62,10 @@
 /// Probes the node beside `server` on a new connection: whether it answers and finds its server
 /// available, and whether it has an attempt of the request `waiting_for` in progress.
 ///
-/// On a reused connection, or without `waiting_for`, a probe could not distinguish a silent
-/// connection from a long run. Without this distinction, after all pooled connections had gone
-/// silent, a request that may be repeated was answered with 504 at its timeout of 2 s; with it, the
-/// request is served within 1 s (test `silent_connections` on real processes).
+/// On a reused connection, or without `waiting_for`, a probe could not distinguish an unresponsive
+/// connection from a long run. Without this distinction, after all pooled connections had stopped
+/// responding, a request that may be repeated was answered with 504 at its timeout of 2 s; with it,
+/// the request is served within 1 s (test `silent_connections` on real processes).
 pub async fn send_probe(
     node: &Rc<Node>,
     server: &ServerInstance,
@@ -114,9 +115,13 @@
 }
 
 /// Excludes `server` from selection, and probes it until it is available again.
-pub fn set_aside(node: &Rc<Node>, server: &ServerInstance, why: &str) {
+pub fn mark_suspect(node: &Rc<Node>, server: &ServerInstance, why: &str) {
     let now = node.now();
-    let is_new = node.state.borrow_mut().servers.set_aside(now, &server.id);
+    let is_new = node
+        .state
+        .borrow_mut()
+        .servers
+        .mark_suspect(now, &server.id);
     if is_new {
         info!(node.log, "server set aside"; "server" => server.id.as_str(),
             "service" => &server.service, "why" => why, "revision" => %node.revision());
@@ -135,7 +140,7 @@
         let is_alive = send_probe(&node, &server, None).await == Liveness::Alive;
         let now = node.now();
         let mut state = node.state.borrow_mut();
-        state.servers.probed(now, &server.id, is_alive);
+        state.servers.record_probe(now, &server.id, is_alive);
         drop(state);
         if is_alive {
             info!(node.log, "server trusted again"; "server" => server.id.as_str(),
--- a/crates/proxy/src/process.rs
+++ b/crates/proxy/src/process.rs
@@ -31,7 +31,7 @@
 /// How long callers are still served after a planned stop began: by then the platform has noticed
 /// that the node is not ready.
 const CALLERS_SERVED_AFTER_STOP: Duration = Duration::from_millis(2600);
-/// How long attempts for the server beside this node are still accepted after a planned stop began.
+/// How long attempts for the local server are still accepted after a planned stop began.
 const ATTEMPTS_ACCEPTED_AFTER_STOP: Duration = Duration::from_millis(1800);
 /// Part of the time allowed for a planned stop that is kept in reserve.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
@@ -139,7 +139,7 @@
 
 impl Running {
     /// Stops the process as planned. Until the platform has noticed that the node is not ready,
-    /// everything is served as before, so that the server beside this node is not idle. After that,
+    /// everything is served as before, so that the local server is not idle. After that,
     /// attempts for the server are refused, and requests in progress are finished.
     pub async fn stop(self) {
         let Running {
@@ -179,7 +179,10 @@
         sleep(pause).await;
         let now = node.now();
         let lateness = now.saturating_since(slept_at).saturating_sub(pause);
-        node.state.borrow_mut().admission.woken_late(now, lateness);
+        node.state
+            .borrow_mut()
+            .admission
+            .record_lateness(now, lateness);
     }
 }
 
@@ -201,13 +204,13 @@
         let now = node.now();
         state.admission.observe(now);
         let available_since = state.view.source_available_since(now);
-        if state.snapshots.forget_vanished(now, available_since) {
+        if state.snapshots.expire_vanished(now, available_since) {
             node.refresh(&mut state);
         }
     }
 }
 
-/// Logs when the server beside this node begins to fail its requests, and when it serves them again.
+/// Logs when the local server begins to fail its requests, and when it serves them again.
 fn log_server_health(node: &Rc<Node>) {
     let state = node.state.borrow();
     let failing = state.admission.failing_zone(node.now());
--- a/crates/proxy/src/source/mod.rs
+++ b/crates/proxy/src/source/mod.rs
@@ -9,8 +9,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use lifthollow_coordination::mesh::source_following::{Follower, Following, Known, Step};
-use lifthollow_coordination::mesh::watchers::{Place, nodes_to_ask, watchers};
+use lifthollow_coordination::mesh::source_following::{
+    FollowMode, FollowStep, Follower, NodeStatus,
+};
+use lifthollow_coordination::mesh::watchers::{NodeLocation, choose_nodes_to_ask, choose_watchers};
 use lifthollow_state::Timestamp;
 use lifthollow_state::mesh::{RevisedChange, Revision, ServerInstance, Snapshot};
 use slog::{info, warn};
@@ -18,7 +20,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::node::Node;
-use crate::snapshots::{self, asking};
+use crate::snapshots::{self, peer_queries};
 
 /// Why a query to the source failed.
 #[derive(Debug, Error)]
@@ -36,7 +38,7 @@
     /// The source's revision after these changes.
     pub revision: Revision,
     /// The number of all reported changes, including those that do not concern nodes.
-    pub told: usize,
+    pub reported_count: usize,
     /// The changes that concern nodes.
     pub changes: Vec<RevisedChange>,
 }
@@ -69,7 +71,7 @@
         follower,
         source,
         found_servers: Vec::new(),
-        following: Following::Starting,
+        following: FollowMode::Starting,
         is_source_lost: false,
         node,
     };
@@ -88,32 +90,32 @@
     /// snapshot.
     found_servers: Vec<ServerInstance>,
     /// How the source was last followed, as logged.
-    following: Following,
+    following: FollowMode,
     /// Whether the last query to the source failed.
     is_source_lost: bool,
 }
 
 impl<S: Source> SourceFollower<S> {
     async fn step(&mut self) -> Result<(), SourceError> {
-        let (now, known) = (self.node.now(), self.known());
-        self.log_following(known);
+        let (now, status) = (self.node.now(), self.status());
+        self.log_following(status);
         let step = {
             let random = &mut self.node.state.borrow_mut().random;
-            self.follower.step(now, known, random)
+            self.follower.step(now, status, random)
         };
         match step {
-            Step::Wait(time) => sleep(time).await,
-            Step::AskNodes(limit) => self.query_nodes(limit).await,
-            Step::FindNodes => self.find_nodes().await?,
-            Step::ReadAll => self.read_all().await?,
-            Step::AskForNewest => self.check_newest().await?,
-            Step::Watch => self.watch().await?,
+            FollowStep::Wait(time) => sleep(time).await,
+            FollowStep::AskNodes(limit) => self.query_nodes(limit).await,
+            FollowStep::ReadNodeAddresses => self.find_nodes().await?,
+            FollowStep::ReadAll => self.read_all().await?,
+            FollowStep::ReadNewestRevision => self.check_newest().await?,
+            FollowStep::Watch => self.watch().await?,
         }
         Ok(())
     }
 
-    fn known(&self) -> Known {
-        Known {
+    fn status(&self) -> NodeStatus {
+        NodeStatus {
             revision: self.node.revision(),
             is_watcher: self.node.is_watcher(),
             knows_nodes: !self.found_servers.is_empty() || self.node.knows_watchers(),
@@ -122,15 +124,15 @@
         }
     }
 
-    fn log_following(&mut self, known: Known) {
-        let following = self.follower.following(known);
+    fn log_following(&mut self, status: NodeStatus) {
+        let following = self.follower.following(status);
         if following != self.following {
-            let age_ms = known.view_age.map(|age| age.as_millis() as u64);
+            let age_ms = status.view_age.map(|age| age.as_millis() as u64);
             info!(self.node.log, "follows the source otherwise"; "now" => ?following,
-                "before" => ?self.following, "revision" => %known.revision, "view_age_ms" => age_ms);
+                "before" => ?self.following, "revision" => %status.revision, "view_age_ms" => age_ms);
             self.following = following;
         }
-        if following != Following::Starting {
+        if following != FollowMode::Starting {
             self.found_servers = Vec::new();
         }
     }
@@ -138,39 +140,41 @@
     async fn query_nodes(&mut self, limit: Duration) {
         let querying = async {
             if self.node.has_snapshot() {
-                asking::query_watchers(&self.node).await;
+                peer_queries::query_watchers(&self.node).await;
             } else {
-                asking::fetch_snapshot(&self.node, self.nodes_to_ask()).await;
+                peer_queries::fetch_snapshot(&self.node, self.choose_nodes_to_ask()).await;
             }
         };
         // Changes that were fetched before the timeout have already been applied.
         let _ = timeout(limit, querying).await;
-        let (now, known) = (self.node.now(), self.known());
+        let (now, status) = (self.node.now(), self.status());
         let random = &mut self.node.state.borrow_mut().random;
-        self.follower.nodes_asked(now, known, random);
+        self.follower.on_nodes_asked(now, status, random);
     }
 
-    fn nodes_to_ask(&self) -> Vec<SocketAddrV4> {
+    fn choose_nodes_to_ask(&self) -> Vec<SocketAddrV4> {
         let settings = &self.node.settings;
-        let own = Place {
+        let own = NodeLocation {
             zone: &settings.zone,
             address: settings.server_address,
         };
         let random = &mut self.node.state.borrow_mut().random;
-        nodes_to_ask(&self.found_servers, own, random)
+        choose_nodes_to_ask(&self.found_servers, own, random)
     }
 
     async fn find_nodes(&mut self) -> Result<(), SourceError> {
         let found_servers = self.source.find_servers().await?;
         self.log_source_regained();
         let now = self.node.now();
-        let is_chosen = watchers(&found_servers).contains(&self.node.settings.server_address);
+        let is_chosen =
+            choose_watchers(&found_servers).contains(&self.node.settings.server_address);
         info!(self.node.log, "looked for other nodes"; "found" => found_servers.len(),
             "chosen_to_watch" => is_chosen);
         self.found_servers = found_servers;
         let random = &mut self.node.state.borrow_mut().random;
         let are_any = !self.found_servers.is_empty();
-        self.follower.nodes_found(now, are_any, is_chosen, random);
+        self.follower
+            .on_nodes_found(now, are_any, is_chosen, random);
         Ok(())
     }
 
@@ -180,9 +184,9 @@
         self.log_read(&snapshot);
         let revision = snapshot.revision;
         snapshots::replace_snapshot(&self.node, "source", snapshot);
-        self.brought_up_to_date(revision, asked);
+        self.mark_up_to_date(revision, asked);
         if !self.node.is_watcher() {
-            asking::notify_watchers(&self.node);
+            peer_queries::notify_watchers(&self.node);
         }
         Ok(())
     }
@@ -202,9 +206,9 @@
         let asked = self.node.now();
         let newest = self.source.newest_revision().await?;
         if newest > self.node.revision() {
-            self.fall_behind("no node reported the changes");
+            self.handle_missing_changes("no node reported the changes");
         } else {
-            self.brought_up_to_date(newest, asked);
+            self.mark_up_to_date(newest, asked);
         }
         Ok(())
     }
@@ -220,7 +224,7 @@
     ) -> Result<bool, SourceError> {
         let answer = match answer {
             Err(SourceError::HistoryGone) => {
-                self.fall_behind("source forgot its history");
+                self.handle_missing_changes("source forgot its history");
                 return Ok(false);
             }
             other => other?,
@@ -228,35 +232,37 @@
         if answer.revision.era != after.era {
             // In a new era the source assigns revision numbers again: the answer does not contain the
             // new era's changes up to the number of `after`.
-            self.fall_behind("source came back from an older copy");
+            self.handle_missing_changes("source came back from an older copy");
             return Ok(false);
         }
-        let has_changes = answer.told > 0;
+        let has_changes = answer.reported_count > 0;
         if !has_changes && answer.revision > self.node.revision() {
             // The source reports every change, so some are missing from this answer.
-            self.fall_behind("source named a revision without the changes that led to it");
+            self.handle_missing_changes(
+                "source named a revision without the changes that led to it",
+            );
             return Ok(false);
         }
         snapshots::apply_changes(&self.node, answer.revision, answer.changes);
-        self.brought_up_to_date(answer.revision, asked);
+        self.mark_up_to_date(answer.revision, asked);
         Ok(has_changes)
     }
 
     /// Handles that the source has a newer revision but did not report the changes up to it.
-    fn fall_behind(&mut self, why: &str) {
-        let (now, known) = (self.node.now(), self.known());
-        info!(self.node.log, "fell behind the source"; "why" => why, "revision" => %known.revision);
+    fn handle_missing_changes(&mut self, why: &str) {
+        let (now, status) = (self.node.now(), self.status());
+        info!(self.node.log, "fell behind the source"; "why" => why, "revision" => %status.revision);
         self.log_source_regained();
         let random = &mut self.node.state.borrow_mut().random;
-        self.follower.fell_behind(now, known, random);
+        self.follower.on_fell_behind(now, status, random);
     }
 
     /// Handles that the node has `revision`, which was the source's newest at `at`.
-    fn brought_up_to_date(&mut self, revision: Revision, at: Timestamp) {
+    fn mark_up_to_date(&mut self, revision: Revision, at: Timestamp) {
         self.confirm(revision, at);
         self.log_source_regained();
         let random = &mut self.node.state.borrow_mut().random;
-        self.follower.brought_up_to_date(random);
+        self.follower.on_up_to_date(random);
     }
 
     /// Confirms the node's view as of `at`, when `revision` was the source's newest, if the node has
@@ -279,6 +285,6 @@
         }
         let now = self.node.now();
         let random = &mut self.node.state.borrow_mut().random;
-        self.follower.source_failed(now, random);
+        self.follower.on_source_error(now, random);
     }
 }
--- a/crates/proxy/src/source/watching.rs
+++ b/crates/proxy/src/source/watching.rs
@@ -8,12 +8,12 @@
 use rand::RngExt;
 use tokio::time::{sleep, timeout};
 
-use crate::snapshots::asking;
+use crate::snapshots::peer_queries;
 
 use super::{Changes, Source, SourceError, SourceFollower};
 
 /// Range from which the wait time of each watch is drawn, in milliseconds. The times differ between
-/// nodes, so that some node soon receives changes after the source was silent.
+/// nodes, so that some node soon receives changes after the source was unresponsive.
 const WATCH_WAIT_MS: std::ops::Range<u64> = 5_000..12_000;
 /// Wait time of a watch after the source was lost and until it has answered again.
 const RETRY_WATCH_WAIT: Duration = Duration::from_millis(200);
@@ -34,7 +34,7 @@
         let wait = self.watch_wait();
         let asked = self.node.now();
         let Some(answer) = self.await_watch_answer(after, wait).await? else {
-            self.fall_behind("a watch did not report the changes");
+            self.handle_missing_changes("a watch did not report the changes");
             return Ok(());
         };
         if !self.apply_changes(answer, after, asked)? {
@@ -43,7 +43,7 @@
         if !self.node.is_watcher() {
             // This node watched because it knew no other node; the nodes that are to watch may not have
             // these changes yet.
-            asking::notify_watchers(&self.node);
+            peer_queries::notify_watchers(&self.node);
         }
         sleep(CHANGE_BATCH_DELAY).await;
         Ok(())
@@ -71,7 +71,7 @@
                 answer = watching.as_mut() => return Ok(Some(answer)),
                 () = self.wait_until_check_due() => {}
             }
-            if asking::query_another_watcher(&self.node).await {
+            if peer_queries::query_another_watcher(&self.node).await {
                 continue;
             }
             if !self.is_newest(after).await? {
@@ -93,7 +93,7 @@
     async fn wait_until_check_due(&self) {
         let random_share = self.node.state.borrow_mut().random.random();
         while self.node.is_watcher() {
-            let role = self.known().role();
+            let role = self.status().role();
             let limit = view_freshness::age_limit(role, random_share);
             let age = self.node.view_age().unwrap_or(Duration::MAX);
             let left = limit.saturating_sub(age);
--- a/crates/proxy/src/wire_names.rs
+++ b/crates/proxy/src/wire_names.rs
@@ -13,21 +13,21 @@
     pub deadline_ms: HeaderName,
     /// Header with a server's signature, which proves that an answer is its own.
     pub signature: HeaderName,
-    /// Header that names the only server instance that may run the request.
+    /// Header that identifies the only server instance that may run the request.
     pub expected_instance: HeaderName,
     /// Header of a server's answer that says that the server has not run the request.
     pub not_run: HeaderName,
-    /// Header of a server's answers with the rate limit that the server names: requests a second from
+    /// Header of a server's answers with the rate limit that the server announces: requests a second from
     /// all nodes together.
     pub server_limit: HeaderName,
-    /// Header of a server's answers that has the value [`WireNames::leaving_word`] if the server is
+    /// Header of a server's answers that has the value [`WireNames::leaving_value`] if the server is
     /// leaving.
     pub server_leaving: HeaderName,
     /// Value of [`WireNames::server_leaving`] if the server is leaving.
-    pub leaving_word: &'static str,
-    /// Header that names the service of the calling machine.
+    pub leaving_value: &'static str,
+    /// Header that contains the service of the calling machine.
     pub caller_service: HeaderName,
-    /// Header that tells a server the tenant of the request.
+    /// Header that passes the tenant of a request to the server.
     pub tenant: HeaderName,
     /// Header with a caller's tenant key, preceded by [`WireNames::key_scheme`] and a space.
     pub authorization: HeaderName,
